--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,17 +11,18 @@
 
 const sec = time.Second
 
-// ready returns a node of five that is a witness with an empty memory at 10 s.
-func ready(self string) *Node {
+// newWitness returns a node of a fleet of five that has voted for nobody and is a
+// witness at 10 s.
+func newWitness(self string) *Node {
 	n := New(Config{Self: self, Instances: []string{"a", "b", "c", "d", "e"}, Boot: 1})
 	n.Confirm(3*sec, 3*sec, 0)
 	return n
 }
 
-// Guards against a witness that grants a pool to two instances, an epoch to two
-// owners, or votes to an instance to which nobody handed them over.
+// Guards against a witness that grants a pool to two instances or an epoch to two
+// owners, or accepts a handover that did not take place.
 func TestGrant(t *testing.T) {
-	held := vote{owner: "a", boot: 1, epoch: 5, until: 11 * sec}
+	held := vote{owner: "a", boot: 1, epoch: 5, expires: 11 * sec}
 	cases := []struct {
 		name  string
 		from  string
@@ -46,7 +47,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			n := ready("e")
+			n := newWitness("e")
 			copied := held
 			n.votes["p"] = &copied
 			reply := n.OnBeat(c.now, c.from, Beat{Boot: c.boot, Seq: 1, Requests: []Request{{Pool: "p", Epoch: c.epoch, After: c.after}}})
@@ -55,24 +56,24 @@
 	}
 }
 
-// Guards against a late beat that undoes a release, and against a release by an
-// instance that is not the owner.
-func TestReleaseOrder(t *testing.T) {
+// Guards against an older heartbeat that arrives after a release and undoes it, and
+// against a release by an instance that is not the owner.
+func TestReleaseNotUndoneByOlderHeartbeat(t *testing.T) {
 	is := is.New(t)
-	n := ready("e")
-	ask := Beat{Boot: 1, Seq: 1, Requests: []Request{{Pool: "p", Epoch: 1}}}
-	is.True(n.OnBeat(10*sec, "a", ask).Votes[0].Granted)
+	n := newWitness("e")
+	request := Beat{Boot: 1, Seq: 1, Requests: []Request{{Pool: "p", Epoch: 1}}}
+	is.True(n.OnBeat(10*sec, "a", request).Votes[0].Granted)
 	n.OnBeat(10*sec, "b", Beat{Boot: 1, Seq: 1, Releases: []Release{{Pool: "p", Epoch: 1}}})
 	is.True(!n.votes["p"].free(10 * sec)) // b is not the owner
 	n.OnBeat(10*sec, "a", Beat{Boot: 1, Seq: 3, Releases: []Release{{Pool: "p", Epoch: 1}}})
 	is.True(n.votes["p"].free(10 * sec))
-	ask.Seq = 2
-	is.True(!n.OnBeat(10*sec, "a", ask).Votes[0].Granted) // late
+	request.Seq = 2
+	is.True(!n.OnBeat(10*sec, "a", request).Votes[0].Granted) // sent before the release
 	is.True(n.votes["p"].free(10 * sec))
 }
 
-// Guards against a restarted witness whose answers count before its old grants
-// have expired or before it has caught up.
+// Guards against a restarted witness that votes before the grants of its earlier
+// boot have expired or before its view has caught up.
 func TestRestart(t *testing.T) {
 	majority := map[string]Reply{"a": {Revision: 3}, "b": {Revision: 4}, "c": {Revision: 4}}
 	abstaining := map[string]Reply{"a": {Revision: 3}, "b": {Revision: 4}, "c": {Revision: 4, Abstains: true}}
@@ -86,14 +87,14 @@
 		now      time.Duration
 		expected bool
 	}{
-		{"nothing known", 4, 3 * sec, nil, 0, 0, 4 * sec, false},
+		{"no read and no reply", 4, 3 * sec, nil, 0, 0, 4 * sec, false},
 		{"read too early", 4, 3 * sec, nil, 2 * sec, 4, 4 * sec, false},
 		{"confirmed read", 4, 3 * sec, nil, 3 * sec, 4, 4 * sec, true},
 		{"view behind the read", 3, 3 * sec, nil, 3 * sec, 4, 4 * sec, false},
 		{"majority", 4, 3 * sec, majority, 0, 0, 4 * sec, true},
-		{"majority asked too early", 4, 2 * sec, majority, 0, 0, 4 * sec, false},
+		{"majority, heartbeat too early", 4, 2 * sec, majority, 0, 0, 4 * sec, false},
 		{"view behind the majority", 3, 3 * sec, majority, 0, 0, 4 * sec, false},
-		{"majority not of witnesses", 4, 3 * sec, abstaining, 0, 0, 4 * sec, false},
+		{"majority with an abstention", 4, 3 * sec, abstaining, 0, 0, 4 * sec, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -111,13 +112,14 @@
 			n.Tick(c.now)
 			is.Equal(n.Witness(c.now), c.expected)
 			is.Equal(n.OnBeat(c.now, "a", Beat{Boot: 1, Seq: 1}).Abstains, !c.expected)
-			is.True(!n.Witness(2 * sec)) // never before the restart time
+			is.True(!n.Witness(2 * sec)) // never before RestartTime
 		})
 	}
 }
 
-// Guards against a lease without a majority, with a view older than the
-// majority's, beyond its time, or counted from the reply instead of the beat.
+// Guards against a lease that lacks a majority, has a view older than the
+// majority's, does not expire, or is counted from the reply instead of the
+// heartbeat.
 func TestInstanceLease(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -135,42 +137,44 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			n := ready("e")
+			n := newWitness("e")
 			n.SetRevision(9*sec, c.own)
 			n.Beat(10 * sec)
 			for i, r := range c.replies {
 				r.Seq = 1
 				n.OnReply(11*sec, n.cfg.Instances[i], r)
-				n.OnReply(11*sec, n.cfg.Instances[i], r) // doubled
+				n.OnReply(11*sec, n.cfg.Instances[i], r) // duplicate
 			}
 			is.Equal(n.Valid(11*sec), c.want)
 			n.SetRevision(11*sec, 4)
-			is.Equal(n.Valid(10*sec+HolderTime-1), len(c.replies) > 1 && !c.replies[1].Abstains) // caught up later
+			is.Equal(n.Valid(10*sec+HolderTime-1), len(c.replies) > 1 && !c.replies[1].Abstains) // the view caught up afterwards
 			is.True(!n.Valid(10*sec + HolderTime))                                               // e.g. after a freeze
 			for i := range c.replies {
 				n.OnReply(13*sec, n.cfg.Instances[i], Reply{Seq: 1, Revision: 4})
 			}
-			is.True(!n.Valid(13 * sec)) // replies after the end gain nothing
+			is.True(!n.Valid(13 * sec)) // replies after HolderTime extend nothing
 		})
 	}
 }
 
-// Guards against a revision that counts although the peer may have lost it.
+// Guards against a reported revision that counts although the peer may have lost it
+// in a restart.
 func TestRevisionExpires(t *testing.T) {
 	is := is.New(t)
-	n := ready("e")
+	n := newWitness("e")
 	n.Beat(10 * sec)
 	n.OnReply(11*sec, "a", Reply{Seq: 1, Revision: 4})
 	is.Equal(n.Revision(10*sec+ReportLife, "a"), uint64(4))
-	is.Equal(n.Revision(10*sec+ReportLife+1, "a"), uint64(0)) // counted from the beat
+	is.Equal(n.Revision(10*sec+ReportLife+1, "a"), uint64(0)) // counted from the heartbeat
 	is.Equal(n.Revision(10*sec, "b"), uint64(0))
 }
 
-// Guards against a revision that is proved only half a second later, and against
-// instances that answer beats with beats while replies are lost.
-func TestNewRevisionPrompts(t *testing.T) {
+// Guards against a new revision that is reported only at the next periodic
+// heartbeat, and against instances that trigger each other's heartbeats without end
+// while replies are lost.
+func TestNewRevisionTriggersHeartbeat(t *testing.T) {
 	is := is.New(t)
-	n := ready("e")
+	n := newWitness("e")
 	n.Beat(10 * sec)
 	n.OnReply(10*sec, "a", Reply{Seq: 1, Revision: 4})
 	n.Tick(10 * sec)
@@ -178,30 +182,30 @@
 		n.OnBeat(10*sec, "a", Beat{Boot: 1, Seq: uint64(i + 1), Revision: 5})
 		is.Equal(n.Tick(10*sec), want)
 	}
-	n.OnBeat(10*sec, "a", Beat{Boot: 2, Seq: 1, Revision: 5}) // restarted meanwhile
+	n.OnBeat(10*sec, "a", Beat{Boot: 2, Seq: 1, Revision: 5}) // a has restarted
 	is.True(n.Tick(10 * sec))
 }
 
-// Guards against a dead peer that blocks a new owner, and against a living one
-// declared dead because a minority has lost contact with it.
+// Guards against a failed peer that delays a new owner, and against a running peer
+// considered without lease because a minority of witnesses does not reply to it.
 func TestMayHoldLease(t *testing.T) {
-	silent := func(ms uint64) []Quiet { return []Quiet{{"a", ms}} }
+	unanswered := func(ms uint64) []Quiet { return []Quiet{{"a", ms}} }
 	cases := []struct {
 		name  string
 		quiet map[string][]Quiet
 		now   time.Duration
 		want  bool
 	}{
-		{"nobody else reports it", map[string][]Quiet{"b": nil, "c": nil}, 10 * sec, true},
-		{"minority", map[string][]Quiet{"b": silent(5000), "c": nil}, 10 * sec, true},
-		{"majority", map[string][]Quiet{"b": silent(5000), "c": silent(2100)}, 10 * sec, false},
-		{"majority, too short", map[string][]Quiet{"b": silent(5000), "c": silent(1900)}, 10 * sec, true},
-		{"majority, old reports", map[string][]Quiet{"b": silent(5000), "c": silent(5000)}, 12 * sec, true},
+		{"no reports from others", map[string][]Quiet{"b": nil, "c": nil}, 10 * sec, true},
+		{"minority", map[string][]Quiet{"b": unanswered(5000), "c": nil}, 10 * sec, true},
+		{"majority", map[string][]Quiet{"b": unanswered(5000), "c": unanswered(2100)}, 10 * sec, false},
+		{"majority, one reply too recent", map[string][]Quiet{"b": unanswered(5000), "c": unanswered(1900)}, 10 * sec, true},
+		{"majority, old reports", map[string][]Quiet{"b": unanswered(5000), "c": unanswered(5000)}, 12 * sec, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			n := ready("e") // has answered nobody since its start at 0 s
+			n := newWitness("e") // has replied to nobody since its start at 0 s
 			n.Beat(10 * sec)
 			for from, q := range c.quiet {
 				n.OnReply(10*sec, from, Reply{Seq: 1, Quiet: q})
@@ -212,21 +216,22 @@
 	}
 }
 
-// settled returns a simulation of five nodes without faults after 8 s, and the
-// owner of pool p.
-func settled(t *testing.T, delay time.Duration) (*sim, string) {
+// startWithOwner returns a simulation of five nodes that has run for 8 s without
+// faults, and the owner of pool p.
+func startWithOwner(t *testing.T, maxDelay time.Duration) (*sim, string) {
 	t.Helper()
 	s := newSim(7, []float64{1, 1, 1, 1, 1}, "p")
-	s.delay = delay
+	s.maxDelay = maxDelay
 	s.runUntil(8 * sec)
-	name := s.holder()
+	name := s.poolOwner()
 	if name == "" {
 		t.Fatal("no owner after 8 s")
 	}
 	return s, name
 }
 
-func (s *sim) holder() string {
+// poolOwner returns the instance that owns pool p, or "".
+func (s *sim) poolOwner() string {
 	for _, name := range s.names {
 		if _, ok := s.nodes[name].Holds(s.clock(s.nodes[name]), "p"); ok {
 			return name
@@ -235,13 +240,14 @@
 	return ""
 }
 
-// gap runs in small steps until another instance than old holds the pool, and
-// returns how long none did.
-func (s *sim) gap(old string, limit time.Duration) time.Duration {
+// timeWithoutOwner runs in steps of 1 ms until another instance than old owns pool p.
+// It returns how long the pool had no owner, or limit if there is no new owner by
+// then.
+func (s *sim) timeWithoutOwner(old string, limit time.Duration) time.Duration {
 	none := time.Duration(0)
 	for end := s.now + limit; s.now < end; {
 		s.runUntil(s.now + time.Millisecond)
-		switch s.holder() {
+		switch s.poolOwner() {
 		case "":
 			none += time.Millisecond
 		case old:
@@ -252,91 +258,92 @@
 	return limit
 }
 
-// Guards against a planned handover that waits for the votes to expire, and
-// against takeovers beyond the 3 s of section 1.
-func TestOwnershipPasses(t *testing.T) {
+// Guards against a planned handover that waits for the expiry of the votes, and
+// against takeovers after a fault that exceed the required 3 s.
+func TestTimeWithoutOwner(t *testing.T) {
 	cases := []struct {
 		name  string
-		do    func(s *sim, owner string)
+		fault func(s *sim, owner string)
 		limit time.Duration
 	}{
 		{"resign", func(s *sim, o string) { s.nodes[o].Resign(s.clock(s.nodes[o])) }, 100 * time.Millisecond},
-		{"freeze", func(s *sim, o string) { s.nodes[o].frozen = s.now + 10*sec }, 3 * sec},
+		{"freeze", func(s *sim, o string) { s.nodes[o].frozenUntil = s.now + 10*sec }, 3 * sec},
 		{"restart", func(s *sim, o string) { s.restarts++; s.boot(o) }, 3 * sec},
 		{"isolated", func(s *sim, o string) { s.isolate(o, true, true) }, 3 * sec},
-		{"hears nobody", func(s *sim, o string) { s.isolate(o, true, false) }, 3 * sec},
-		{"heard by nobody", func(s *sim, o string) {
+		{"receives nothing", func(s *sim, o string) { s.isolate(o, true, false) }, 3 * sec},
+		{"sends nothing", func(s *sim, o string) {
 			for _, name := range s.names {
-				s.setCut(o, name, true)
+				s.setBlocked(o, name, true)
 			}
 		}, 3 * sec},
-		{"successor dies during the handover", func(s *sim, o string) {
+		{"successor freezes during the handover", func(s *sim, o string) {
 			n := s.nodes[o]
 			to := n.successor(s.clock(n), "p")
 			n.Resign(s.clock(n))
-			s.nodes[to].frozen = s.now + 10*sec
+			s.nodes[to].frozenUntil = s.now + 10*sec
 		}, 3 * sec},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			s, owner := settled(t, 3*time.Millisecond)
-			c.do(s, owner)
-			took := s.gap(owner, 5*sec)
+			s, owner := startWithOwner(t, 3*time.Millisecond)
+			c.fault(s, owner)
+			took := s.timeWithoutOwner(owner, 5*sec)
 			t.Logf("no owner for %s", took)
 			is.True(took <= c.limit)
-			is.Equal(s.fault, "")
+			is.Equal(s.violation, "")
 		})
 	}
 }
 
-// Guards against a witness that helps an owner to an epoch below one that it
-// heard of while it abstained, and then never believes that owner.
-func TestAnnouncedEpoch(t *testing.T) {
+// Guards against a witness that grants an epoch below one announced to it while it
+// abstained. It would then ignore the announcements of the owner that it voted for.
+func TestGrantRefusesEpochBelowAnnounced(t *testing.T) {
 	is := is.New(t)
 	n := New(Config{Self: "e", Instances: []string{"a", "b", "c", "d", "e"}, Boot: 1})
 	n.OnBeat(sec, "a", Beat{Boot: 1, Seq: 1, Requests: []Request{{Pool: "p", Epoch: 5, Held: true}}})
 	n.Confirm(3*sec, 3*sec, 0)
-	ask := func(from string, seq, epoch uint64) Vote {
+	request := func(from string, seq, epoch uint64) Vote {
 		return n.OnBeat(9*sec, from, Beat{Boot: 1, Seq: seq, Requests: []Request{{Pool: "p", Epoch: epoch}}}).Votes[0]
 	}
-	is.Equal(ask("b", 1, 4), Vote{Epoch: 5})
-	is.Equal(ask("b", 2, 5), Vote{Epoch: 5})
-	is.True(ask("a", 2, 5).Granted)
+	is.Equal(request("b", 1, 4), Vote{Epoch: 5})
+	is.Equal(request("b", 2, 5), Vote{Epoch: 5})
+	is.True(request("a", 2, 5).Granted)
 }
 
-// Guards against a handover that is lost with the one beat that told it.
-func TestHandoverRepeats(t *testing.T) {
+// Guards against a handover that fails because the first heartbeat with its release
+// is lost.
+func TestHandoverSurvivesLostHeartbeats(t *testing.T) {
 	is := is.New(t)
-	s, owner := settled(t, 3*time.Millisecond)
+	s, owner := startWithOwner(t, 3*time.Millisecond)
 	o := s.nodes[owner]
 	o.Resign(s.clock(o))
 	for range 3 {
 		is.True(o.Tick(s.clock(o)) || o.HandingOver())
 		is.Equal(len(o.Beat(s.clock(o)).Releases), 1) // none of them is delivered
 	}
-	is.True(s.gap(owner, 5*sec) < 600*time.Millisecond) // by a periodic beat
+	is.True(s.timeWithoutOwner(owner, 5*sec) < 600*time.Millisecond) // by a periodic heartbeat
 }
 
-// Guards against a successor that ignores a handover because it still waits for
-// the votes of a round that it lost against the owner.
+// Guards against a successor that ignores a handover because it has an open round of
+// its own, which it cannot win against the owner.
 func TestHandoverDuringRound(t *testing.T) {
 	is := is.New(t)
-	s, owner := settled(t, 3*time.Millisecond)
+	s, owner := startWithOwner(t, 3*time.Millisecond)
 	o := s.nodes[owner]
 	to := s.nodes[o.successor(s.clock(o), "p")]
-	*to.claims["p"] = claim{active: true, epoch: to.highest("p"), asked: s.clock(to)}
+	*to.claims["p"] = claim{active: true, epoch: to.highestEpoch("p"), roundStart: s.clock(to)}
 	o.Resign(s.clock(o))
-	took := s.gap(owner, 5*sec)
+	took := s.timeWithoutOwner(owner, 5*sec)
 	is.True(took <= 100*time.Millisecond)
-	is.Equal(s.holder(), to.name)
+	is.Equal(s.poolOwner(), to.name)
 }
 
-// Guards against an owner with an epoch below one that other instances know,
-// whose grants they would refuse for ever.
-func TestEpochRises(t *testing.T) {
+// Guards against an owner that keeps an epoch below one known to other instances,
+// which would refuse its requests forever.
+func TestOwnerRaisesOutdatedEpoch(t *testing.T) {
 	is := is.New(t)
-	s, owner := settled(t, 3*time.Millisecond)
+	s, owner := startWithOwner(t, 3*time.Millisecond)
 	for _, name := range s.names {
 		if name != owner {
 			s.nodes[name].votes["p"] = &vote{epoch: 40}
@@ -349,7 +356,7 @@
 	is.True(epoch > 40)
 }
 
-// Guards against a message that decodes to something else than was encoded.
+// Guards against a message that changes in encoding and decoding.
 func TestEncoding(t *testing.T) {
 	is := is.New(t)
 	beats := []Beat{
@@ -372,7 +379,8 @@
 	is.Equal(fmt.Sprint(got), fmt.Sprint(r))
 }
 
-// Guards against a panic and against an unstable encoding on arbitrary bytes.
+// Guards against a panic on arbitrary bytes, and against a decoded message that does
+// not decode again after encoding.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`[1,2,3,4,5,[["p",1]],["b"],[["p",1,"c"]]]`))
 	f.Add([]byte(`[3,1,[1,[2,"a"]],[["b",9]]]`))
@@ -384,11 +392,11 @@
 			if err != nil || json.Unmarshal(again, &c) != nil {
 				t.Fatalf("beat %s encodes to %s: %v", raw, again, err)
 			}
-			ready("e").OnBeat(10*sec, "a", b)
+			newWitness("e").OnBeat(10*sec, "a", b)
 		}
 		var r Reply
 		if json.Unmarshal(raw, &r) == nil {
-			n := ready("e")
+			n := newWitness("e")
 			n.Beat(10 * sec)
 			r.Seq = 1
 			n.OnReply(10*sec, "a", r)
@@ -396,8 +404,8 @@
 	})
 }
 
-// BenchmarkRenewal measures one renewal among seven instances: a beat, the
-// answers of six witnesses, and the evaluation of their replies.
+// BenchmarkRenewal measures one lease renewal among seven instances: a heartbeat,
+// its processing by six witnesses, and the processing of their replies.
 func BenchmarkRenewal(b *testing.B) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	nodes := map[string]*Node{}
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -8,96 +8,108 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds on a decoded message; larger ones are refused.
+// Limits of a decoded message. A message that exceeds one is rejected.
 const (
-	maxList = 4096
-	maxName = 256 // bytes
+	maxListLen   = 4096
+	maxNameBytes = 256
 )
 
-// Request asks the witnesses for a pool, or renews a grant.
+// Request asks the witnesses for the ownership of a pool or for its renewal.
 type Request struct {
-	Pool  string
+	Pool string
+	// Epoch is the requested epoch.
 	Epoch uint64
 	// Held reports that the sender owns the pool with this epoch.
 	Held bool
-	// After, if not 0, is the epoch that its owner handed over to the sender.
+	// After is the epoch of the owner that handed over its votes to the sender,
+	// 0 without a handover.
 	After uint64
 }
 
-// Release gives up the votes for a pool.
+// Release gives up the votes granted to the sender for a pool, for Epoch and all
+// lower epochs.
 type Release struct {
 	Pool  string
 	Epoch uint64
-	// To names the successor to which a resigning owner hands over its votes;
-	// "" frees the votes of the witnesses that receive the release.
+	// To is the successor to which a resigned owner hands over its votes. If it
+	// is "", each receiver frees its vote for any candidate.
 	To string
 }
 
-// Beat is sent by each instance to all others.
+// Beat is the heartbeat that each instance sends to all others.
 type Beat struct {
-	// Boot identifies the sender's process: a restarted instance has another.
+	// Boot identifies the sender's process: a restarted instance has another value.
 	Boot uint64
-	// Seq counts the beats of this process from 1.
-	Seq      uint64
+	// Seq numbers the heartbeats of this process from 1.
+	Seq uint64
+	// Revision is the revision of the sender's view.
 	Revision uint64
-	// StampMs and StampCount carry the hybrid logical clock.
+	// StampMs and StampCount are the sender's hybrid logical clock: Unix
+	// milliseconds and a counter within the millisecond.
 	StampMs    int64
 	StampCount uint32
-	// Unreached names the peers without a direct link.
+	// Unreached names the peers to which the sender has no direct link.
 	Unreached []string
 	Requests  []Request
 	Releases  []Release
 }
 
-// Vote answers one request of a beat.
+// Vote is a witness's decision on one request of a heartbeat.
 type Vote struct {
 	Granted bool
-	// Owner and Epoch tell why not: the unexpired owner, or "" and the highest
-	// epoch known to the witness.
+	// Owner and Epoch are the reason of a refusal: the owner whose grant has not
+	// expired and its epoch, or "" and the highest epoch known to the witness.
 	Owner string
 	Epoch uint64
 }
 
-// Quiet tells that a peer's beats were not answered for some time.
+// Quiet reports a peer to which the sender has sent no lease reply for some time.
+// A lease reply is a reply that does not abstain.
 type Quiet struct {
 	Peer string
-	// Ms is the time since the last answer that counts towards a lease.
+	// Ms is the time since the last lease reply in milliseconds.
 	Ms uint64
 }
 
-// Reply answers a beat. The beat it answers is known from the call.
+// Reply is the reply to a heartbeat.
 type Reply struct {
-	Seq      uint64 // not encoded
+	// Seq is the Seq of the heartbeat. It is not encoded: the caller sets it from
+	// the RPC that returned the reply.
+	Seq uint64
+	// Revision is the revision of the replier's view.
 	Revision uint64
-	// Abstains reports that the replier is no witness yet.
+	// Abstains reports that the replier is no witness yet. Its votes then grant
+	// nothing, and the reply does not count towards a lease.
 	Abstains bool
 	Votes    []Vote // one for each request, in order
 	Quiet    []Quiet
 }
 
-// MarshalJSON encodes a beat as an array without its empty tail. Beats are the
-// idle traffic of the fleet, so the field names would be most of it.
+// MarshalJSON encodes a heartbeat as an array without its trailing zero values.
+// Heartbeats are the idle traffic of the fleet, and field names would be most of
+// their bytes.
 func (b Beat) MarshalJSON() ([]byte, error) {
 	reqs := make([][]any, 0, len(b.Requests))
 	for _, r := range b.Requests {
-		reqs = append(reqs, trim(r.Pool, r.Epoch, bit(!r.Held), r.After))
+		reqs = append(reqs, trimZeros(r.Pool, r.Epoch, boolToInt(!r.Held), r.After))
 	}
 	rels := make([][]any, 0, len(b.Releases))
 	for _, r := range b.Releases {
-		rels = append(rels, trim(r.Pool, r.Epoch, r.To))
+		rels = append(rels, trimZeros(r.Pool, r.Epoch, r.To))
 	}
 	unreached := b.Unreached
 	if unreached == nil {
 		unreached = []string{}
 	}
-	return json.Marshal(trim(b.Boot, b.Seq, b.Revision, b.StampMs, b.StampCount, reqs, unreached, rels))
+	return json.Marshal(trimZeros(b.Boot, b.Seq, b.Revision, b.StampMs, b.StampCount, reqs, unreached, rels))
 }
 
-// UnmarshalJSON implements json.Unmarshaler.
+// UnmarshalJSON decodes a heartbeat. It returns an error and leaves b unchanged if
+// a required field is missing or a limit is exceeded.
 func (b *Beat) UnmarshalJSON(data []byte) error {
 	var out Beat
 	var reqs, rels []json.RawMessage
-	err := fields(data, 2, &out.Boot, &out.Seq, &out.Revision, &out.StampMs, &out.StampCount, &reqs, &out.Unreached, &rels)
+	err := decodeArray(data, 2, &out.Boot, &out.Seq, &out.Revision, &out.StampMs, &out.StampCount, &reqs, &out.Unreached, &rels)
 	if err != nil {
 		return errors.WithMessage(err, "beat")
 	}
@@ -106,19 +118,19 @@
 	}
 	for _, raw := range reqs {
 		var r Request
-		seeks := 0
-		if err := fields(raw, 2, &r.Pool, &r.Epoch, &seeks, &r.After); err != nil {
+		notOwned := 0
+		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &notOwned, &r.After); err != nil {
 			return errors.WithMessage(err, "beat request")
 		}
 		if r.Pool == "" || r.Epoch == 0 {
 			return errors.New("beat request: no pool or no epoch")
 		}
-		r.Held = seeks == 0
+		r.Held = notOwned == 0
 		out.Requests = append(out.Requests, r)
 	}
 	for _, raw := range rels {
 		var r Release
-		if err := fields(raw, 2, &r.Pool, &r.Epoch, &r.To); err != nil {
+		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &r.To); err != nil {
 			return errors.WithMessage(err, "beat release")
 		}
 		if r.Pool == "" || r.Epoch == 0 {
@@ -130,7 +142,7 @@
 	return nil
 }
 
-// MarshalJSON encodes a reply as an array without its empty tail.
+// MarshalJSON encodes a reply as an array without its trailing zero values.
 func (r Reply) MarshalJSON() ([]byte, error) {
 	votes := make([]any, 0, len(r.Votes))
 	for _, v := range r.Votes {
@@ -138,21 +150,22 @@
 			votes = append(votes, 1)
 			continue
 		}
-		votes = append(votes, trim(v.Epoch, v.Owner))
+		votes = append(votes, trimZeros(v.Epoch, v.Owner))
 	}
 	quiet := make([][]any, 0, len(r.Quiet))
 	for _, q := range r.Quiet {
 		quiet = append(quiet, []any{q.Peer, q.Ms})
 	}
-	return json.Marshal(trim(r.Revision, bit(r.Abstains), votes, quiet))
+	return json.Marshal(trimZeros(r.Revision, boolToInt(r.Abstains), votes, quiet))
 }
 
-// UnmarshalJSON implements json.Unmarshaler.
+// UnmarshalJSON decodes a reply. It returns an error and leaves r unchanged if a
+// required field is missing or a limit is exceeded.
 func (r *Reply) UnmarshalJSON(data []byte) error {
 	var out Reply
 	var votes, quiet []json.RawMessage
 	abstains := 0
-	if err := fields(data, 0, &out.Revision, &abstains, &votes, &quiet); err != nil {
+	if err := decodeArray(data, 0, &out.Revision, &abstains, &votes, &quiet); err != nil {
 		return errors.WithMessage(err, "reply")
 	}
 	out.Abstains = abstains != 0
@@ -165,7 +178,7 @@
 	}
 	for _, raw := range quiet {
 		var q Quiet
-		if err := fields(raw, 2, &q.Peer, &q.Ms); err != nil {
+		if err := decodeArray(raw, 2, &q.Peer, &q.Ms); err != nil {
 			return errors.WithMessage(err, "reply quiet")
 		}
 		if q.Peer == "" || q.Ms > math.MaxInt32 {
@@ -177,24 +190,25 @@
 	return nil
 }
 
+// decodeVote decodes a vote: 1 if granted, otherwise an array of epoch and owner.
 func decodeVote(raw json.RawMessage) (Vote, error) {
 	if bytes.Equal(raw, []byte("1")) {
 		return Vote{Granted: true}, nil
 	}
 	var v Vote
-	err := fields(raw, 0, &v.Epoch, &v.Owner)
+	err := decodeArray(raw, 0, &v.Epoch, &v.Owner)
 	return v, errors.WithMessage(err, "reply vote")
 }
 
-func bit(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// trim drops the zero values at the end.
-func trim(values ...any) []any {
+// trimZeros removes the trailing zero values.
+func trimZeros(values ...any) []any {
 	n := len(values)
 	for n > 0 && isZero(values[n-1]) {
 		n--
@@ -202,6 +216,8 @@
 	return values[:n]
 }
 
+// isZero reports whether v is the zero value or an empty list. It covers the types
+// that the encoders use.
 func isZero(v any) bool {
 	switch v := v.(type) {
 	case int:
@@ -224,39 +240,40 @@
 	return false
 }
 
-// fields decodes a JSON array whose tail may be missing after the first least
-// elements.
-func fields(data []byte, least int, into ...any) error {
+// decodeArray decodes a JSON array into dest. Elements after the first minFields
+// may be missing.
+func decodeArray(data []byte, minFields int, dest ...any) error {
 	var raw []json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return err
 	}
-	if len(raw) < least || len(raw) > len(into) {
-		return errors.Errorf("%d fields, want %d to %d", len(raw), least, len(into))
+	if len(raw) < minFields || len(raw) > len(dest) {
+		return errors.Errorf("%d fields, want %d to %d", len(raw), minFields, len(dest))
 	}
 	for i, r := range raw {
-		if err := json.Unmarshal(r, into[i]); err != nil {
+		if err := json.Unmarshal(r, dest[i]); err != nil {
 			return err
 		}
-		if err := checkBound(into[i]); err != nil {
+		if err := checkLength(dest[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkBound(v any) error {
+// checkLength returns an error if a decoded name or list exceeds its limit.
+func checkLength(v any) error {
 	switch v := v.(type) {
 	case *string:
-		if len(*v) > maxName {
+		if len(*v) > maxNameBytes {
 			return errors.New("name too long")
 		}
 	case *[]json.RawMessage:
-		if len(*v) > maxList {
+		if len(*v) > maxListLen {
 			return errors.New("list too long")
 		}
 	case *[]string:
-		if len(*v) > maxList {
+		if len(*v) > maxListLen {
 			return errors.New("list too long")
 		}
 	}
--- a/internal/lease/node.go
+++ b/internal/lease/node.go
@@ -6,162 +6,170 @@
 	"time"
 )
 
-// keptRounds is the number of own beats whose replies are still counted. Beats
-// older than HolderTime can no longer extend anything.
-const keptRounds = 8
+// maxRounds is the number of own heartbeats whose replies are counted. Heartbeats
+// older than HolderTime cannot extend a lease or an ownership.
+const maxRounds = 8
 
-// Config describes a node.
+// Config identifies a node and its fleet.
 type Config struct {
+	// Self is the name of this instance.
 	Self string
-	// Instances names all instances of the fleet, Self included. Majorities
-	// refer to this list.
+	// Instances names all instances of the fleet, Self included. A majority is
+	// more than half of this list.
 	Instances []string
-	// Boot identifies this process.
+	// Boot identifies the process: a restarted instance has another value, not 0.
 	Boot uint64
-	// Start is the time at which the process started.
+	// Start is the start of the process on the clock that all methods use.
 	Start time.Duration
 }
 
-// Node is the state of one instance.
+// Node is the lease state of one instance. All times passed to its methods are
+// readings of the same monotonic clock.
 type Node struct {
 	cfg      Config
 	majority int
 	revision uint64
 
-	caughtUp  bool   // rule (a) of a restart is met
-	confirmed uint64 // revision confirmed by the control quorum
-	confirm   bool   // confirmed is set
+	caughtUp          bool   // the view has caught up since the restart, see updateCaughtUp
+	confirmedRevision uint64 // newest revision confirmed by the control quorum
+	readConfirmed     bool   // confirmedRevision is set
 
-	peers map[string]*peer // self included
-	votes map[string]*vote // memory of the witness, by pool
+	peers map[string]*peer // by instance, self included
+	votes map[string]*vote // votes of this witness, by pool
 
-	seq    uint64
-	rounds []*round // own newest beats, oldest first
-	until  time.Duration
+	seq      uint64   // number of the newest own heartbeat
+	rounds   []*round // newest own heartbeats, oldest first
+	leaseEnd time.Duration
 
-	owners   map[string]owner  // owners as announced by their beats
-	seen     map[string]uint64 // highest epochs told by other witnesses
-	announce bool              // the next beat must not wait: the node became a witness or an owner
-	claims   map[string]*claim
-	releases []Release // to be sent with the next beat
-	handover map[string]handover
-	resigned bool
+	owners          map[string]owner  // by pool, as announced by the owners' heartbeats
+	highestEpochs   map[string]uint64 // by pool, as reported by other instances
+	heartbeatDue    bool              // send a heartbeat without waiting for the interval
+	claims          map[string]*claim // by pool
+	pendingReleases []Release         // to be sent with the next heartbeat
+	handovers       map[string]handover
+	resigned        bool
 }
 
-// peer is what is known of one instance.
+// peer is the last known state of one instance.
 type peer struct {
-	boot, seq uint64        // newest beat received
-	revision  uint64        // newest revision seen in a beat or reply
-	prompted  uint64        // newest revision of its beats for which a beat was sent at once
-	answered  time.Duration // last answer that counts towards the peer's lease, or the start
+	boot, seq       uint64        // of the newest heartbeat received
+	revision        uint64        // newest revision received in a heartbeat or reply
+	triggerRevision uint64        // newest revision in its heartbeats that triggered an immediate heartbeat
+	lastLeaseReply  time.Duration // last reply to it that counts towards its lease, or the start of this node
 
-	// From the newest reply to one of the own beats.
-	replied       bool
-	abstains      bool
-	replyRevision uint64
-	replySent     time.Duration // sending of the beat that it answers
-	replyReceived time.Duration
-	quiet         map[string]time.Duration
+	// State in the newest reply to an own heartbeat.
+	replied            bool // a reply was received
+	abstains           bool
+	replyRevision      uint64
+	replyHeartbeatSent time.Duration // when the heartbeat that it replies to was sent
+	replyReceived      time.Duration
+	unanswered         map[string]time.Duration // instances without a lease reply from this peer, and for how long
 }
 
-// round is one own beat and the replies to it.
+// round is one own heartbeat and the replies to it.
 type round struct {
 	seq      uint64
-	sent     time.Duration
+	sentAt   time.Duration
 	requests []Request
-	replies  map[string]Reply
+	replies  map[string]Reply // by instance
 }
 
-// New returns a node with empty memory.
+// New returns a node that has not voted, has no lease and seeks no pool.
 func New(cfg Config) *Node {
 	n := &Node{
 		cfg: cfg, majority: len(cfg.Instances)/2 + 1,
-		peers: map[string]*peer{}, votes: map[string]*vote{}, owners: map[string]owner{}, seen: map[string]uint64{},
-		claims: map[string]*claim{}, handover: map[string]handover{},
+		peers: map[string]*peer{}, votes: map[string]*vote{}, owners: map[string]owner{}, highestEpochs: map[string]uint64{},
+		claims: map[string]*claim{}, handovers: map[string]handover{},
 	}
 	for _, name := range cfg.Instances {
-		n.peers[name] = &peer{answered: cfg.Start}
+		n.peers[name] = &peer{lastLeaseReply: cfg.Start}
 	}
 	return n
 }
 
-// Witness reports whether the node's answers count.
+// Witness reports whether the node votes: RestartTime has passed since its start,
+// and its view has caught up with the fleet. Otherwise its replies abstain.
 func (n *Node) Witness(now time.Duration) bool {
 	return n.caughtUp && now >= n.cfg.Start+RestartTime
 }
 
-// Valid reports whether the instance lease is valid.
-func (n *Node) Valid(now time.Duration) bool { return now < n.until }
+// Valid reports whether the instance lease is valid at the given time.
+func (n *Node) Valid(now time.Duration) bool { return now < n.leaseEnd }
 
-// Until returns the time at which the instance lease ends.
-func (n *Node) Until() time.Duration { return n.until }
+// Until returns the time at which the instance lease expires, 0 if there was none.
+func (n *Node) Until() time.Duration { return n.leaseEnd }
 
-// SetRevision tells the revision of the local view. It never decreases.
+// SetRevision sets the revision of the local view. A lower revision than before
+// is ignored.
 func (n *Node) SetRevision(now time.Duration, revision uint64) {
 	n.revision = max(n.revision, revision)
-	n.catchUp(now)
-	n.evaluate(now)
+	n.updateCaughtUp(now)
+	n.extendLeases(now)
 }
 
-// Confirm tells the result of a read that the control quorum confirmed and that
-// began at the time given. Reads begun before the end of RestartTime do not
-// count, because a revision could be accepted with the help of a report that
-// this instance made before its restart.
+// Confirm records the revision returned by a read that the control quorum
+// confirmed and that started at began. Reads started before the end of
+// RestartTime are ignored, because a later revision could be accepted with the
+// help of a report that this instance made before its restart.
 func (n *Node) Confirm(now, began time.Duration, revision uint64) {
 	if began < n.cfg.Start+RestartTime {
 		return
 	}
-	n.confirm, n.confirmed = true, max(n.confirmed, revision)
-	n.catchUp(now)
+	n.readConfirmed, n.confirmedRevision = true, max(n.confirmedRevision, revision)
+	n.updateCaughtUp(now)
 }
 
-// catchUp applies rule (a): the view is at least as new as one confirmed by the
-// control quorum, or as those of a majority of witnesses.
-func (n *Node) catchUp(now time.Duration) {
+// updateCaughtUp decides whether the view has caught up since the restart: it is
+// at least as new as one confirmed by the control quorum, or as the views of a
+// majority of witnesses. Reads and heartbeats before the end of RestartTime do
+// not count.
+func (n *Node) updateCaughtUp(now time.Duration) {
 	if n.caughtUp || now < n.cfg.Start+RestartTime {
 		return
 	}
-	if n.confirm && n.revision >= n.confirmed {
-		n.caughtUp, n.announce = true, true
+	if n.readConfirmed && n.revision >= n.confirmedRevision {
+		n.caughtUp, n.heartbeatDue = true, true
 		return
 	}
 	for _, r := range n.rounds {
-		if r.sent >= n.cfg.Start+RestartTime && n.covered(r, false) >= n.majority {
-			n.caughtUp, n.announce = true, true
+		if r.sentAt >= n.cfg.Start+RestartTime && n.countNotAhead(r, false) >= n.majority {
+			n.caughtUp, n.heartbeatDue = true, true
 			return
 		}
 	}
 }
 
-// covered counts the witnesses whose reply to a beat has no newer view than the
-// local one.
-func (n *Node) covered(r *round, withSelf bool) int {
+// countNotAhead counts the witnesses that replied to a heartbeat with a revision
+// not newer than the local one.
+func (n *Node) countNotAhead(r *round, includeSelf bool) int {
 	count := 0
 	for name, reply := range r.replies {
-		if !reply.Abstains && reply.Revision <= n.revision && (withSelf || name != n.cfg.Self) {
+		if !reply.Abstains && reply.Revision <= n.revision && (includeSelf || name != n.cfg.Self) {
 			count++
 		}
 	}
 	return count
 }
 
-// Beat makes the next beat. It is the same for all peers, and must be sent at
-// once, because leases count from now.
+// Beat returns the next heartbeat, to be sent to all peers. It must be sent at
+// once, because leases are counted from now.
 func (n *Node) Beat(now time.Duration) Beat {
 	n.seq++
-	b := Beat{Boot: n.cfg.Boot, Seq: n.seq, Revision: n.revision, Requests: n.requests(now), Releases: n.handoverReleases()}
-	n.releases = nil
-	n.rounds = append(n.rounds, &round{seq: n.seq, sent: now, requests: b.Requests, replies: map[string]Reply{}})
-	if len(n.rounds) > keptRounds {
-		n.rounds = slices.Delete(n.rounds, 0, len(n.rounds)-keptRounds)
+	b := Beat{Boot: n.cfg.Boot, Seq: n.seq, Revision: n.revision, Requests: n.requests(now), Releases: n.releasesToSend()}
+	n.pendingReleases = nil
+	n.rounds = append(n.rounds, &round{seq: n.seq, sentAt: now, requests: b.Requests, replies: map[string]Reply{}})
+	if len(n.rounds) > maxRounds {
+		n.rounds = slices.Delete(n.rounds, 0, len(n.rounds)-maxRounds)
 	}
-	own := n.OnBeat(now, n.cfg.Self, b)
-	own.Seq = n.seq
-	n.OnReply(now, n.cfg.Self, own)
+	ownReply := n.OnBeat(now, n.cfg.Self, b)
+	ownReply.Seq = n.seq
+	n.OnReply(now, n.cfg.Self, ownReply)
 	return b
 }
 
-// OnReply counts the reply of a peer to an own beat. Reply.Seq must be set.
+// OnReply processes the reply of a peer to an own heartbeat and extends the lease
+// and the ownership of pools accordingly. Reply.Seq must be the Seq of that
+// heartbeat. Duplicates and replies to old heartbeats are ignored.
 func (n *Node) OnReply(now time.Duration, from string, reply Reply) {
 	p := n.peers[from]
 	i := slices.IndexFunc(n.rounds, func(r *round) bool { return r.seq == reply.Seq })
@@ -169,37 +177,38 @@
 		return
 	}
 	r := n.rounds[i]
-	if _, again := r.replies[from]; again {
+	if _, duplicate := r.replies[from]; duplicate {
 		return
 	}
 	r.replies[from] = reply
-	if !p.replied || r.sent >= p.replySent {
-		p.noteReply(now, r.sent, reply)
+	if !p.replied || r.sentAt >= p.replyHeartbeatSent {
+		p.recordReply(now, r.sentAt, reply)
 	}
 	p.revision = max(p.revision, reply.Revision)
-	n.noteVotes(r, reply)
-	n.catchUp(now)
-	n.evaluate(now)
+	n.recordRefusals(r, reply)
+	n.updateCaughtUp(now)
+	n.extendLeases(now)
 }
 
-func (p *peer) noteReply(now, sent time.Duration, reply Reply) {
+// recordReply stores the state in a reply to a heartbeat sent at the given time.
+func (p *peer) recordReply(now, sent time.Duration, reply Reply) {
 	p.replied, p.abstains, p.replyRevision = true, reply.Abstains, reply.Revision
-	p.replySent, p.replyReceived = sent, now
-	p.quiet = map[string]time.Duration{}
+	p.replyHeartbeatSent, p.replyReceived = sent, now
+	p.unanswered = map[string]time.Duration{}
 	for _, q := range reply.Quiet {
-		p.quiet[q.Peer] = time.Duration(q.Ms) * time.Millisecond
+		p.unanswered[q.Peer] = time.Duration(q.Ms) * time.Millisecond
 	}
 }
 
-// evaluate extends the instance lease and the ownership of pools by every beat
-// that a majority has answered.
-func (n *Node) evaluate(now time.Duration) {
+// extendLeases extends the instance lease and the ownership of pools for each
+// recent heartbeat to which a majority replied.
+func (n *Node) extendLeases(now time.Duration) {
 	for _, r := range n.rounds {
-		if now >= r.sent+HolderTime {
+		if now >= r.sentAt+HolderTime {
 			continue
 		}
-		if n.covered(r, true) >= n.majority {
-			n.until = max(n.until, r.sent+HolderTime)
+		if n.countNotAhead(r, true) >= n.majority {
+			n.leaseEnd = max(n.leaseEnd, r.sentAt+HolderTime)
 		}
 		for i, req := range r.requests {
 			n.countGrants(r, i, req)
@@ -207,20 +216,21 @@
 	}
 }
 
-// Revision returns the revision in a peer's newest reply, or 0 if that reply
-// answers a beat older than ReportLife.
+// Revision returns the revision in a peer's newest reply, or 0 if the heartbeat
+// that it replies to is older than ReportLife. For Self it returns the revision
+// of the local view.
 func (n *Node) Revision(now time.Duration, name string) uint64 {
 	if name == n.cfg.Self {
 		return n.revision
 	}
 	p := n.peers[name]
-	if p == nil || !p.replied || now-p.replySent > ReportLife {
+	if p == nil || !p.replied || now-p.replyHeartbeatSent > ReportLife {
 		return 0
 	}
 	return p.replyRevision
 }
 
-// Ahead returns the peers with a newer view, the newest first.
+// Ahead returns the peers with a newer view than the local one, the newest first.
 func (n *Node) Ahead() []string {
 	var out []string
 	for name, p := range n.peers {
@@ -238,9 +248,9 @@
 	return out
 }
 
-// MayHoldLease reports whether a peer may hold a lease. It is false only if so
-// many witnesses report not to have answered the peer that it certainly held
-// none at some moment within the last ReportLife.
+// MayHoldLease reports whether a peer may hold an instance lease. It returns
+// false only if so many witnesses report that they sent the peer no lease reply
+// that it certainly held no lease at some moment within the last ReportLife.
 func (n *Node) MayHoldLease(now time.Duration, name string) bool {
 	if name == n.cfg.Self {
 		return n.Valid(now)
@@ -249,34 +259,34 @@
 		return true
 	}
 	needed := len(n.cfg.Instances) - n.majority + 1
-	return n.quietWitnesses(now, name) < needed
+	return n.countUnansweringWitnesses(now, name) < needed
 }
 
-// quietWitnesses counts the witnesses that answered no beat of the peer for so
-// long, at the time of the oldest report used, that a lease gained from the last
-// answer has ended whatever the drift of the three clocks.
-func (n *Node) quietWitnesses(now time.Duration, name string) int {
-	type evidence struct{ age, received time.Duration }
-	found := []evidence{{now - n.peers[name].answered, now}}
-	oldest := now
+// countUnansweringWitnesses counts the witnesses that, at the time of the oldest
+// report used, had not replied to the peer for so long that a lease based on the
+// last reply has expired, whatever the drift of the three clocks involved.
+func (n *Node) countUnansweringWitnesses(now time.Duration, name string) int {
+	type report struct{ age, received time.Duration }
+	reports := []report{{now - n.peers[name].lastLeaseReply, now}}
+	oldestSent := now
 	for witness, p := range n.peers {
-		age, ok := p.quiet[name]
-		if witness == n.cfg.Self || witness == name || !ok || now-p.replySent > ReportLife {
+		age, ok := p.unanswered[name]
+		if witness == n.cfg.Self || witness == name || !ok || now-p.replyHeartbeatSent > ReportLife {
 			continue
 		}
-		oldest = min(oldest, p.replySent)
-		found = append(found, evidence{age, p.replyReceived})
+		oldestSent = min(oldestSent, p.replyHeartbeatSent)
+		reports = append(reports, report{age, p.replyReceived})
 	}
 	count := 0
-	for _, e := range found {
-		if shortest(e.age)-longest(e.received-oldest) >= longest(HolderTime) {
+	for _, e := range reports {
+		if minRealTime(e.age)-maxRealTime(e.received-oldestSent) >= maxRealTime(HolderTime) {
 			count++
 		}
 	}
 	return count
 }
 
-// shortest and longest return the bounds of the real time that a drifting clock
-// shows as d.
-func shortest(d time.Duration) time.Duration { return time.Duration(float64(d) / (1 + MaxDrift)) }
-func longest(d time.Duration) time.Duration  { return time.Duration(float64(d) / (1 - MaxDrift)) }
+// minRealTime and maxRealTime return the bounds of the real time that passes while
+// a clock that drifts by at most MaxDrift advances by d.
+func minRealTime(d time.Duration) time.Duration { return time.Duration(float64(d) / (1 + MaxDrift)) }
+func maxRealTime(d time.Duration) time.Duration { return time.Duration(float64(d) / (1 - MaxDrift)) }
--- a/internal/lease/witness.go
+++ b/internal/lease/witness.go
@@ -2,65 +2,71 @@
 
 import "time"
 
-// quietAfter is the age from which a witness reports that it has not answered a
-// peer. It is longer than two beat intervals, so that idle replies stay small.
-const quietAfter = 1200 * time.Millisecond
+// unansweredReportAge is the time without a lease reply to a peer from which a
+// witness reports the peer as unanswered. It is longer than two heartbeat
+// intervals, so that replies stay small while all peers send heartbeats.
+const unansweredReportAge = 1200 * time.Millisecond
 
-// vote is a witness's memory of one pool.
+// vote is the newest grant of this witness for one pool.
 type vote struct {
-	owner string
-	boot  uint64
-	epoch uint64 // highest epoch granted
-	until time.Duration
+	owner   string // instance to which the pool was granted
+	boot    uint64 // boot of that instance
+	epoch   uint64 // highest epoch granted
+	expires time.Duration
 }
 
-// free reports whether no unexpired owner is known.
-func (v *vote) free(now time.Duration) bool { return v.owner == "" || now >= v.until }
+// free reports whether the witness has granted the pool to nobody or the grant has
+// expired.
+func (v *vote) free(now time.Duration) bool { return v.owner == "" || now >= v.expires }
 
-// OnBeat answers a peer's beat.
+// OnBeat processes a peer's heartbeat and returns the reply to it. The reply
+// abstains if this node is no witness yet or the peer is not in
+// Config.Instances. No request of a heartbeat that arrives after a later one of
+// the same boot is granted.
 func (n *Node) OnBeat(now time.Duration, from string, b Beat) Reply {
 	p := n.peers[from]
 	if p == nil {
 		return Reply{Revision: n.revision, Abstains: true}
 	}
-	fresh := b.Boot != p.boot || b.Seq > p.seq
+	isNew := b.Boot != p.boot || b.Seq > p.seq
 	if b.Boot != p.boot {
-		p.prompted = 0
+		p.triggerRevision = 0
 	}
-	if fresh {
+	if isNew {
 		p.boot, p.seq = b.Boot, b.Seq
-		n.observe(now, from, b)
+		n.applyHeartbeat(now, from, b)
 	}
-	reply := Reply{Revision: n.revision, Abstains: !n.Witness(now), Quiet: n.quiet(now)}
+	reply := Reply{Revision: n.revision, Abstains: !n.Witness(now), Quiet: n.unansweredPeers(now)}
 	for _, req := range b.Requests {
 		var v Vote
-		if fresh && !reply.Abstains {
+		if isNew && !reply.Abstains {
 			v = n.grant(now, from, b.Boot, req)
 		}
 		reply.Votes = append(reply.Votes, v)
 	}
 	if !reply.Abstains {
-		p.answered = now
+		p.lastLeaseReply = now
 	}
 	return reply
 }
 
-// observe takes over what a new beat tells: revision, owner and released votes.
-// Beats that arrive late are ignored, because an older request must not undo a
-// newer release.
-func (n *Node) observe(now time.Duration, from string, b Beat) {
+// applyHeartbeat records the revision, the releases and the announced owners of a
+// heartbeat. It must not be called for a heartbeat that arrives after a later one,
+// because an older request must not undo a newer release.
+func (n *Node) applyHeartbeat(now time.Duration, from string, b Beat) {
 	if p := n.peers[from]; from != n.cfg.Self {
 		p.revision = b.Revision
-		// Only replies prove a peer's revision. A beat at once gets one now
-		// instead of at the next interval, which speeds up acceptance. It is
-		// done once for each revision: two instances whose replies are lost
-		// would otherwise answer each other's beats with beats without end.
-		if p.replied && b.Revision > max(p.replyRevision, p.prompted) {
-			n.announce, p.prompted = true, b.Revision
+		// Only a reply proves a peer's revision. An immediate heartbeat
+		// obtains one now instead of at the next interval, so that a new
+		// revision is accepted sooner. It is sent once for each revision:
+		// otherwise two instances whose replies are lost would trigger each
+		// other's heartbeats without end.
+		if p.replied && b.Revision > max(p.replyRevision, p.triggerRevision) {
+			n.heartbeatDue, p.triggerRevision = true, b.Revision
 		}
 	}
 	for _, r := range b.Releases {
-		n.release(now, from, b.Boot, r)
+		n.applyRelease(now, from, b.Boot, r)
 	}
 	for _, req := range b.Requests {
 		o := n.owners[req.Pool]
@@ -70,24 +76,25 @@
 	}
 }
 
-// grant decides on one request. An epoch is granted to one owner only, so that
-// the epochs of two owners differ.
+// grant votes on one request. It grants an epoch to one owner only, so that the
+// epochs of two owners differ.
 func (n *Node) grant(now time.Duration, from string, boot uint64, req Request) Vote {
 	v := n.votes[req.Pool]
 	if v == nil {
 		v = &vote{}
 		n.votes[req.Pool] = v
 	}
-	same := v.owner == from && v.boot == boot
+	sameOwner := v.owner == from && v.boot == boot
 	handedOver := req.After != 0 && v.epoch == req.After
-	if !same && !handedOver && !v.free(now) {
+	if !sameOwner && !handedOver && !v.free(now) {
 		return Vote{Owner: v.owner, Epoch: v.epoch}
 	}
-	if req.Epoch < v.epoch || (req.Epoch == v.epoch && !same) {
+	if req.Epoch < v.epoch || (req.Epoch == v.epoch && !sameOwner) {
 		return Vote{Epoch: v.epoch}
 	}
-	// An epoch that an owner has announced may be unknown to the votes, if it
-	// was announced while this witness abstained. A lower one must rise.
+	// The votes may lack an epoch that its owner announced while this witness
+	// abstained. The announced epoch is returned with the refusal, so that the
+	// candidate raises its own.
 	o := n.owners[req.Pool]
 	if req.Epoch < o.epoch || (req.Epoch == o.epoch && o.instance != from) {
 		return Vote{Epoch: o.epoch}
@@ -96,28 +103,31 @@
 	return Vote{Granted: true}
 }
 
-func (n *Node) release(now time.Duration, from string, boot uint64, r Release) {
+// applyRelease processes a release of a peer: it accepts a handover addressed to
+// this node, or frees the vote granted to the peer and forgets its ownership.
+func (n *Node) applyRelease(now time.Duration, from string, boot uint64, r Release) {
 	if r.To != "" {
 		if r.To == n.cfg.Self && from != n.cfg.Self {
-			n.succeed(now, from, r)
+			n.acceptHandover(now, from, r)
 		}
 		return
 	}
 	v := n.votes[r.Pool]
 	if v != nil && v.owner == from && v.boot == boot && v.epoch <= r.Epoch {
-		v.until = now
+		v.expires = now
 	}
 	if o := n.owners[r.Pool]; o.instance == from && o.epoch <= r.Epoch {
 		delete(n.owners, r.Pool)
 	}
 }
 
-// quiet lists the peers whose beats were not answered for some time.
-func (n *Node) quiet(now time.Duration) []Quiet {
+// unansweredPeers returns the peers to which this node sent no lease reply for at
+// least unansweredReportAge.
+func (n *Node) unansweredPeers(now time.Duration) []Quiet {
 	var out []Quiet
 	for _, name := range n.cfg.Instances {
 		p := n.peers[name]
-		if age := now - p.answered; name != n.cfg.Self && age >= quietAfter {
+		if age := now - p.lastLeaseReply; name != n.cfg.Self && age >= unansweredReportAge {
 			out = append(out, Quiet{name, uint64(age / time.Millisecond)})
 		}
 	}
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -13,8 +13,9 @@
 
 var pool = fleetconfig.Pool{Name: "p", Kind: fleetconfig.KindEngine, Model: "m", Version: "1"}
 
-const interval = 2 * time.Second
+const loadInterval = 2 * time.Second
 
+// states returns the states of n cold targets in service.
 func states(n int) []api.TargetState {
 	var out []api.TargetState
 	for i := range n {
@@ -26,31 +27,33 @@
 	return out
 }
 
-// Guards against loads above the weight store's rate, also right after a takeover.
+// Guards against load orders above the weight store's rate, also right after a
+// takeover.
 func TestLoadsArePaced(t *testing.T) {
 	is := is.New(t)
-	p := NewPlanner(pool, interval, 0)
-	var at []time.Duration
+	p := NewPlanner(pool, loadInterval, 0)
+	var loadTimes []time.Duration
 	for now := time.Duration(0); now < 20*time.Second; now += 100 * time.Millisecond {
 		for _, o := range p.Plan(now, states(5), nil) {
 			if o.Kind == Load {
-				at = append(at, now)
+				loadTimes = append(loadTimes, now)
 			}
 			p.Done(now, o, Accepted)
 		}
 	}
-	is.Equal(len(at), 5) // each target once
+	is.Equal(len(loadTimes), 5) // one for each target
 	last := time.Duration(0)
-	for _, x := range at {
-		is.True(x-last >= interval)
+	for _, x := range loadTimes {
+		is.True(x-last >= loadInterval)
 		last = x
 	}
 }
 
-// Guards against a target that is warmed twice, before its load, or not at all.
+// Guards against a warm order that is sent twice, before the load order, or not at
+// all.
 func TestLoadThenWarmOncePerBoot(t *testing.T) {
 	is := is.New(t)
-	p := NewPlanner(pool, interval, 0)
+	p := NewPlanner(pool, loadInterval, 0)
 	var kinds []Kind
 	for now := time.Duration(0); now < 30*time.Second; now += time.Second {
 		s := states(1)
@@ -65,8 +68,8 @@
 	is.Equal(kinds, []Kind{Load, Warm, Load, Warm})
 }
 
-// Guards against orders to targets that must get no work.
-func TestSkippedTargets(t *testing.T) {
+// Guards against orders to targets that are leaving, out of service or already warm.
+func TestTargetsWithoutOrders(t *testing.T) {
 	cases := []struct {
 		name      string
 		change    func(*api.TargetState)
@@ -83,13 +86,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := states(1)
 			c.change(&s[0])
-			got := NewPlanner(pool, interval, 0).Plan(interval, s, map[string]bool{"a": c.returning})
+			got := NewPlanner(pool, loadInterval, 0).Plan(loadInterval, s, map[string]bool{"a": c.returning})
 			is.New(t).Equal(len(got), c.want)
 		})
 	}
 }
 
-// Guards against a failed order that is repeated without a pause or given up.
+// Guards against a failed order that is retried without a delay or not at all.
 func TestFailedOrderBacksOff(t *testing.T) {
 	is := is.New(t)
 	p := NewPlanner(pool, time.Millisecond, 0)
@@ -100,33 +103,34 @@
 			p.Done(now, o, Failed)
 		}
 	}
-	is.True(sent >= 5*60/30) // still tried at least every MaxRetry
+	is.True(sent >= 5*60/30) // retried at least every MaxRetry
 	is.True(sent <= 16)      // 5 doublings, then every MaxRetry
 }
 
-// Guards against orders under an old fencing token after an engine refused one.
+// Guards against further orders with a fencing token that an engine refused as
+// outdated.
 func TestStaleTokenStopsOrders(t *testing.T) {
 	is := is.New(t)
-	p := NewPlanner(pool, interval, 0)
-	o := p.Plan(interval, states(2), nil)[0]
-	p.Done(interval, o, Stale)
+	p := NewPlanner(pool, loadInterval, 0)
+	o := p.Plan(loadInterval, states(2), nil)[0]
+	p.Done(loadInterval, o, Stale)
 	is.True(p.Stale())
 	is.Equal(len(p.Plan(time.Minute, states(2), nil)), 0)
 	p.Renewed()
 	is.True(len(p.Plan(time.Minute, states(2), nil)) > 0)
 }
 
-// Guards against an answer to an order of an earlier boot that marks the
-// restarted target as loaded.
-func TestLateAnswerOfEarlierBoot(t *testing.T) {
+// Guards against the outcome of an order to an earlier boot that marks the restarted
+// target as loaded.
+func TestOutcomeOfEarlierBootIgnored(t *testing.T) {
 	is := is.New(t)
-	p := NewPlanner(pool, interval, 0)
-	old := p.Plan(interval, states(1), nil)[0]
+	p := NewPlanner(pool, loadInterval, 0)
+	old := p.Plan(loadInterval, states(1), nil)[0]
 	s := states(1)
 	s[0].Boot = 2
-	is.Equal(len(p.Plan(interval, s, nil)), 0) // the rate is used up
-	p.Done(interval, old, Accepted)
-	got := p.Plan(3*interval, s, nil)
+	is.Equal(len(p.Plan(loadInterval, s, nil)), 0) // the next load order is not due yet
+	p.Done(loadInterval, old, Accepted)
+	got := p.Plan(3*loadInterval, s, nil)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Kind, Load)
 }
--- a/internal/targetlist/list.go
+++ b/internal/targetlist/list.go
@@ -1,9 +1,10 @@
-// Package targetlist merges what the platform's list of targets says at different
-// times into one numbered list, and carries its changes between instances.
+// Package targetlist keeps a versioned copy of the platform's list of targets and
+// replicates its changes between instances as incremental or full updates.
 //
-// A List of the reading instance turns whole answers into updates; a List of
-// another instance applies them in order. The package is pure: it answers for one
-// list of any length; time is an argument.
+// The List of the instance that reads the platform compares each response with its
+// state and returns the changes as an Update. The Lists of the other instances apply
+// the updates in order. The package does no I/O and reads no clock: the caller
+// passes the current time.
 package targetlist
 
 import (
@@ -15,19 +16,20 @@
 	"nutmegrouter/internal/api"
 )
 
-// Position numbers the state of a list. Epoch is the term of the reader, Seq
-// counts its changes.
+// Position is the version of a list. Epoch is the control leader's term in which
+// the list was read; Seq increases with each change. The zero value is the position
+// of a list that was never read or received.
 type Position struct {
 	Epoch uint64 `json:"e,omitempty"`
 	Seq   uint64 `json:"s,omitempty"`
 }
 
-// Less orders positions.
-func (p Position) Less(o Position) bool {
-	return p.Epoch < o.Epoch || (p.Epoch == o.Epoch && p.Seq < o.Seq)
+// Less reports whether p is older than other.
+func (p Position) Less(other Position) bool {
+	return p.Epoch < other.Epoch || (p.Epoch == other.Epoch && p.Seq < other.Seq)
 }
 
-// Entry is a target on the wire.
+// Entry is the wire form of a target.
 type Entry struct {
 	ID         string `json:"i"`
 	Service    string `json:"s"`
@@ -35,58 +37,63 @@
 	DataCentre string `json:"z,omitempty"`
 	Slots      int    `json:"n,omitempty"`
 	Leaving    bool   `json:"l,omitempty"`
-	ColdMs     int64  `json:"c,omitempty"` // from the time of sending on
-	BornMs     int64  `json:"b,omitempty"`
+	ColdMs     int64  `json:"c,omitempty"` // remaining cold start when the update was made; 0 = warm
+	BornMs     int64  `json:"b,omitempty"` // start of the target's incarnation, Unix time in milliseconds; 0 = unknown
 }
 
-// Update carries the changes from Base to At. A whole list has no base.
+// Update is the changes of a list from the position Base to the position At, or the
+// full list at At.
 type Update struct {
 	At   Position `json:"at"`
 	Base Position `json:"base"`
-	// Whole replaces the list.
+	// Whole marks a full list, which replaces the receiver's list. Its Base is zero.
 	Whole   bool     `json:"w,omitempty"`
-	Entries []Entry  `json:"c,omitempty"`
-	Gone    []string `json:"g,omitempty"`
+	Entries []Entry  `json:"c,omitempty"` // added or changed targets
+	Gone    []string `json:"g,omitempty"` // IDs of removed targets
 }
 
-// coldTolerance is the difference between two reports of the end of a cold start
-// that counts as a change: answers are cached by the platform and delayed.
-const coldTolerance = time.Second
+// coldEndTolerance is the largest difference between two reported ends of a cold
+// start that does not count as a change: the platform caches and delays its
+// responses.
+const coldEndTolerance = time.Second
 
-// List is the newest known state. The zero value is empty; it is not safe for
-// concurrent use.
+// List is a versioned list of targets with its recent changes. The zero value is an
+// empty list. It is not safe for concurrent use.
 type List struct {
-	at      Position
-	targets map[string]api.Target
-	history []Update // the newest ones, each with the one before as its base
+	position Position
+	targets  map[string]api.Target // by ID
+	history  []Update              // newest consecutive updates, oldest first
 }
 
-// historyMost is the number of updates from which Since can tell changes. The platform's
-// list is read every 0.4 s, so an instance may have missed some 12 s of them.
-const historyMost = 32
+// maxHistory is the number of updates kept for Since. The platform's list is read
+// every 0.4 s, so an instance that missed updates for up to about 12 s needs no full
+// list.
+const maxHistory = 32
 
-// remember keeps an update that led to the present state.
-func (l *List) remember(u Update) {
-	if u.Whole || u.Base == (Position{}) { // Since tells the whole list to one that knows nothing
+// appendHistory stores an update that led to the current position. A full or first
+// update clears the history.
+func (l *List) appendHistory(u Update) {
+	if u.Whole || u.Base == (Position{}) { // an empty list gets the full list from Since
 		l.history = nil
 		return
 	}
-	if len(l.history) == historyMost {
+	if len(l.history) == maxHistory {
 		l.history = l.history[1:]
 	}
 	l.history = append(l.history, u)
 }
 
-// Since returns the changes from a position on, or the whole list if they are not known.
+// Since returns the changes from position p to the current position, or the full
+// list if the history does not reach back to p.
 func (l *List) Since(p Position, now time.Duration) Update {
-	if p == l.at {
+	if p == l.position {
 		return Update{At: p, Base: p}
 	}
 	from := slices.IndexFunc(l.history, func(u Update) bool { return u.Base == p })
 	if from < 0 {
 		return l.Whole(now)
 	}
-	changed := map[string]bool{} // false = gone
+	changed := map[string]bool{} // by ID; false = removed
 	for _, u := range l.history[from:] {
 		for _, e := range u.Entries {
 			changed[e.ID] = true
@@ -95,7 +102,7 @@
 			changed[id] = false
 		}
 	}
-	out := Update{At: l.at, Base: p}
+	out := Update{At: l.position, Base: p}
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
 		if t, ok := l.targets[id]; ok {
 			out.Entries = append(out.Entries, toEntry(t, now))
@@ -106,17 +113,18 @@
 	return out
 }
 
-// At returns the position of the list.
-func (l *List) At() Position { return l.at }
+// At returns the current position.
+func (l *List) At() Position { return l.position }
 
 // Targets returns the targets sorted by ID.
 func (l *List) Targets() []api.Target {
 	return slices.SortedFunc(maps.Values(l.targets), func(a, b api.Target) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// Read takes a whole answer of the platform, read in an epoch, and returns the
-// update for other instances. Of two entries under one ID the younger life
-// counts. The update has no changes if the answer says nothing new.
+// Read replaces the list by a complete response of the platform, read in the given
+// epoch, and returns the changes as an update for other instances. Of two entries
+// with the same ID the newer incarnation counts. If nothing changed, the update is
+// empty, and a new epoch alone advances the position.
 func (l *List) Read(epoch uint64, entries []api.DirectoryEntry, now time.Duration) Update {
 	next := make(map[string]api.Target, len(entries))
 	for _, e := range entries {
@@ -126,9 +134,9 @@
 		}
 		next[t.ID] = t
 	}
-	u := Update{Base: l.at}
+	u := Update{Base: l.position}
 	for id, t := range next {
-		if old, ok := l.targets[id]; !ok || differs(old, t) {
+		if old, ok := l.targets[id]; !ok || isChanged(old, t) {
 			u.Entries = append(u.Entries, toEntry(t, now))
 		} else {
 			next[id] = old
@@ -139,16 +147,17 @@
 			u.Gone = append(u.Gone, id)
 		}
 	}
-	if epoch != l.at.Epoch || len(u.Entries)+len(u.Gone) > 0 {
-		l.at = Position{epoch, l.at.Seq + 1}
+	if epoch != l.position.Epoch || len(u.Entries)+len(u.Gone) > 0 {
+		l.position = Position{epoch, l.position.Seq + 1}
 	}
-	l.targets, u.At = next, l.at
+	l.targets, u.At = next, l.position
 	if u.At != u.Base {
-		l.remember(u)
+		l.appendHistory(u)
 	}
 	return u
 }
 
+// fromEntry returns the target of an entry received at the time now.
 func fromEntry(e api.DirectoryEntry, now time.Duration) api.Target {
 	t := api.Target{
 		ID: e.ID, Service: e.Service, Address: e.Address, DataCentre: e.DataCentre,
@@ -160,6 +169,7 @@
 	return t
 }
 
+// toEntry returns the wire form of a target at the time now.
 func toEntry(t api.Target, now time.Duration) Entry {
 	return Entry{
 		ID: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre,
@@ -168,28 +178,32 @@
 	}
 }
 
-func differs(a, b api.Target) bool {
-	cold := a.ColdUntil - b.ColdUntil
+// isChanged reports whether two states of a target differ, apart from a shift of the
+// end of a cold start by up to coldEndTolerance.
+func isChanged(a, b api.Target) bool {
+	coldShift := a.ColdUntil - b.ColdUntil
 	a.ColdUntil, b.ColdUntil = 0, 0
-	return a != b || cold > coldTolerance || cold < -coldTolerance
+	return a != b || coldShift > coldEndTolerance || coldShift < -coldEndTolerance
 }
 
-// Whole returns the update that replaces the list of another instance.
+// Whole returns the full list as an update that replaces another instance's list.
 func (l *List) Whole(now time.Duration) Update {
-	u := Update{At: l.at, Whole: true}
+	u := Update{At: l.position, Whole: true}
 	for _, t := range l.Targets() {
 		u.Entries = append(u.Entries, toEntry(t, now))
 	}
 	return u
 }
 
-// Apply takes an update. It reports whether the list changed, and whether a whole
-// list must be fetched because updates are missing.
+// Apply applies an update received from another instance. It ignores an update that
+// is not newer than the list. missing reports that earlier updates are missing: the
+// update was not applied, and the caller must fetch the changes since At or the full
+// list. changed reports that the update was applied.
 func (l *List) Apply(u Update, now time.Duration) (changed, missing bool) {
-	if !l.at.Less(u.At) {
+	if !l.position.Less(u.At) {
 		return false, false
 	}
-	if !u.Whole && u.Base != l.at {
+	if !u.Whole && u.Base != l.position {
 		return false, true
 	}
 	next := map[string]api.Target{}
@@ -205,7 +219,7 @@
 	for _, id := range u.Gone {
 		delete(next, id)
 	}
-	l.targets, l.at = next, u.At
-	l.remember(u)
+	l.targets, l.position = next, u.At
+	l.appendHistory(u)
 	return true, false
 }
--- a/internal/targetlist/list_test.go
+++ b/internal/targetlist/list_test.go
@@ -12,19 +12,20 @@
 	"nutmegrouter/internal/api"
 )
 
-func entry(id string, born int64) api.DirectoryEntry {
-	return api.DirectoryEntry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, BornMs: born}
+// entry returns a warm target of the platform's list.
+func entry(id string, bornMs int64) api.DirectoryEntry {
+	return api.DirectoryEntry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, BornMs: bornMs}
 }
 
-// Guards against a leaving target, a new life or a cold start that other instances
-// do not learn of.
+// Guards against updates that lack a leaving target, a new incarnation or a cold
+// start.
 func TestChanges(t *testing.T) {
 	is := is.New(t)
-	var reader, other List
+	var reader, follower List
 	read := func(now time.Duration, entries ...api.DirectoryEntry) Update {
 		u := reader.Read(1, entries, now)
-		other.Apply(u, now)
-		is.Equal(other.Targets(), reader.Targets())
+		follower.Apply(u, now)
+		is.Equal(follower.Targets(), reader.Targets())
 		return u
 	}
 	read(0, entry("a", 1), entry("b", 1))
@@ -32,33 +33,34 @@
 	leaving := entry("a", 1)
 	leaving.Leaving = true
 	read(2*time.Second, leaving, entry("b", 1))
-	is.True(other.Targets()[0].Leaving)
+	is.True(follower.Targets()[0].Leaving)
 	cold := entry("b", 2)
 	cold.ColdFor = 3 * time.Second
 	read(3*time.Second, cold)
-	is.Equal(len(other.Targets()), 1)
-	is.Equal(other.Targets()[0].ColdUntil, 6*time.Second)
-	cold.ColdFor = 2200 * time.Millisecond // the same end, told a little later
+	is.Equal(len(follower.Targets()), 1)
+	is.Equal(follower.Targets()[0].ColdUntil, 6*time.Second)
+	cold.ColdFor = 2200 * time.Millisecond // the same end within the tolerance
 	is.Equal(len(read(4*time.Second, cold).Entries), 0)
 }
 
-// Guards against an older life of a target that hides the newer one under its name.
-func TestTwoLives(t *testing.T) {
+// Guards against an older incarnation of a target that replaces a newer one with the
+// same ID.
+func TestNewestIncarnationCounts(t *testing.T) {
 	is := is.New(t)
-	for _, order := range [][]api.DirectoryEntry{{entry("a", 1), entry("a", 2)}, {entry("a", 2), entry("a", 1)}} {
+	for _, entries := range [][]api.DirectoryEntry{{entry("a", 1), entry("a", 2)}, {entry("a", 2), entry("a", 1)}} {
 		var l List
-		l.Read(1, order, 0)
+		l.Read(1, entries, 0)
 		is.Equal(len(l.Targets()), 1)
 		is.Equal(l.Targets()[0].BornMs, int64(2))
 	}
 }
 
-// Guards against lost, doubled and reordered updates, and updates of a former
-// leader, that leave an instance with another list than the newest it was told.
-func TestSequences(t *testing.T) {
+// Guards against lost, duplicated and reordered updates, and updates of a former
+// leader, that leave an instance with an older or wrong list.
+func TestRandomUpdateDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var leaders [3]List
-		var other List
+		var follower List
 		var sent []Update
 		epoch := uint64(1)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -78,30 +80,30 @@
 			sent = append(sent, l.Read(epoch, entries, now))
 			for range rapid.IntRange(0, 3).Draw(t, "delivered") {
 				u := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")]
-				before := other.At()
-				_, missing := other.Apply(u, now)
+				before := follower.At()
+				_, missing := follower.Apply(u, now)
 				if missing {
-					other.Apply(l.Whole(now), now)
+					follower.Apply(l.Whole(now), now)
 				}
-				if other.At().Less(before) {
-					t.Fatal("the list went back")
+				if follower.At().Less(before) {
+					t.Fatal("the position decreased")
 				}
 			}
-			other.Apply(l.Whole(now), now)
-			if other.At() != l.At() || fmt.Sprint(other.Targets()) != fmt.Sprint(l.Targets()) {
-				t.Fatalf("%v %v, want %v %v", other.At(), other.Targets(), l.At(), l.Targets())
+			follower.Apply(l.Whole(now), now)
+			if follower.At() != l.At() || fmt.Sprint(follower.Targets()) != fmt.Sprint(l.Targets()) {
+				t.Fatalf("%v %v, want %v %v", follower.At(), follower.Targets(), l.At(), l.Targets())
 			}
 		}
 	})
 }
 
-// Guards against an instance that missed updates and gets other targets than one that
-// has read them all: for random changes and gaps.
+// Guards against an instance that misses random updates and has another list than the
+// reader after it has caught up with Since.
 func TestSince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reader, follower List
 		now := time.Duration(0)
-		missed := 0
+		missedUpdates := 0
 		for range rapid.IntRange(1, 60).Draw(t, "reads") {
 			now += 400 * time.Millisecond
 			var entries []api.DirectoryEntry
@@ -111,17 +113,17 @@
 			}
 			u := reader.Read(1+uint64(now/(4*time.Second)), entries, now)
 			if rapid.IntRange(0, 3).Draw(t, "missed") > 0 {
-				missed++
+				missedUpdates++
 				continue
 			}
 			if _, missing := follower.Apply(u, now); missing {
 				s := reader.Since(follower.At(), now)
 				if _, missing = follower.Apply(s, now); missing {
-					t.Fatalf("changes since %v begin at %v", follower.At(), s.Base)
+					t.Fatalf("update since %v has base %v", follower.At(), s.Base)
 				}
 			}
 			if follower.At() == reader.At() && !slices.Equal(follower.Targets(), reader.Targets()) {
-				t.Fatalf("after %d missed: %v, want %v", missed, follower.Targets(), reader.Targets())
+				t.Fatalf("after %d missed updates: %v, want %v", missedUpdates, follower.Targets(), reader.Targets())
 			}
 		}
 	})
