--- a/internal/fairness/estimate.go
+++ b/internal/fairness/estimate.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// enoughSamples is the number of completions after which a learned mean
-	// replaces the caller's hint.
-	enoughSamples = 4
-	// meanWindow is the number of completions over which the mean moves.
+	// minSamples is the number of completions after which a workspace's mean
+	// cost replaces the caller's hint.
+	minSamples = 4
+	// meanWindow is the window of the moving means, in completions.
 	meanWindow = 32
-	// hintSpread bounds a hint to this factor either side of the pool's mean.
-	hintSpread = 5
-	// defaultCost is the estimate before anything is known about the pool.
+	// maxHintFactor limits a hint to between 1/maxHintFactor and maxHintFactor
+	// times the pool's mean cost.
+	maxHintFactor = 5
+	// defaultCost is the estimate, in cost units, without a hint and before the
+	// first completion in the pool.
 	defaultCost = 100
-	// MinCost and MaxCost bound estimates and true costs in cost units, so
-	// that a single wrong value cannot move a workspace out of reach.
+	// MinCost and MaxCost bound estimates and true costs, in cost units. They
+	// limit the effect of one wrong value on the rank of a workspace.
 	MinCost = 1e-3
 	MaxCost = 1e7
 )
@@ -25,7 +27,8 @@
 // Kinds is the number of cost classes, ClassUnknown included.
 const Kinds = 4
 
-// Kind returns the index of a cost class; unknown words count as ClassUnknown.
+// Kind returns the index of a cost class, from 0 to Kinds-1. Unrecognised classes
+// count as ClassUnknown, which has index 0.
 func Kind(c api.CostClass) int {
 	switch c {
 	case api.ClassLong:
@@ -38,19 +41,19 @@
 	return 0
 }
 
-// mean is a moving mean: exact for the first meanWindow values, exponential
-// after them.
-type mean struct {
+// movingMean is the arithmetic mean of the first meanWindow values and an
+// exponentially weighted moving average after them.
+type movingMean struct {
 	value float64
 	count int
 }
 
-func (m *mean) add(x float64) {
+func (m *movingMean) add(x float64) {
 	m.count = min(m.count+1, meanWindow)
 	m.value += (x - m.value) / float64(m.count)
 }
 
-// clampCost maps NaN and negative values to MinCost.
+// clampCost limits a cost to MinCost and MaxCost. NaN becomes MinCost.
 func clampCost(x float64) float64 {
 	if !(x > MinCost) {
 		return MinCost
@@ -58,29 +61,32 @@
 	return math.Min(x, MaxCost)
 }
 
-// Estimate returns the expected cost of a request of the workspace.
+// Estimate returns the expected cost, in cost units, of a request of the workspace.
+// kind is an index that Kind returns. hint is the caller's estimate, 0 if there is
+// none; it is ignored once the workspace has enough completions of the kind.
 func (t *Table) Estimate(w *Workspace, kind int, hint float64) float64 {
-	if m := w.means[kind]; m.count >= enoughSamples {
+	if m := w.meansByKind[kind]; m.count >= minSamples {
 		return m.value
 	}
-	pool := t.means[kind]
+	pool := t.meansByKind[kind]
 	switch {
-	case hint > 0 && pool.count >= enoughSamples:
-		return clampCost(math.Min(math.Max(hint, pool.value/hintSpread), pool.value*hintSpread))
+	case hint > 0 && pool.count >= minSamples:
+		return clampCost(math.Min(math.Max(hint, pool.value/maxHintFactor), pool.value*maxHintFactor))
 	case hint > 0:
-		// The mean of other kinds is no bound: cheap requests complete first, so
-		// early means are far below the cost of a long request.
+		// The mean over all kinds does not bound the hint: cheap requests complete
+		// first, so early means are far below the cost of a long request.
 		return clampCost(hint)
 	case pool.count > 0:
 		return pool.value
-	case t.all.count > 0:
-		return t.all.value
+	case t.overallMean.count > 0:
+		return t.overallMean.value
 	}
 	return defaultCost
 }
 
-func (t *Table) learn(w *Workspace, kind int, cost float64) {
-	w.means[kind].add(cost)
-	t.means[kind].add(cost)
-	t.all.add(cost)
+// recordCost updates the moving means with the true cost of a completed request.
+func (t *Table) recordCost(w *Workspace, kind int, cost float64) {
+	w.meansByKind[kind].add(cost)
+	t.meansByKind[kind].add(cost)
+	t.overallMean.add(cost)
 }
--- a/internal/fairness/heap.go
+++ b/internal/fairness/heap.go
@@ -1,44 +1,46 @@
 package fairness
 
-// The heap is written out because container/heap boxes its elements and calls
-// through an interface on every comparison.
+// The heap does not use container/heap, which boxes its elements and compares them
+// through an interface.
 
+// less orders by virtual service, then by the order of activation.
 func less(a, b *Workspace) bool {
-	if a.virtual != b.virtual {
-		return a.virtual < b.virtual
+	if a.virtualService != b.virtualService {
+		return a.virtualService < b.virtualService
 	}
-	return a.since < b.since
+	return a.activation < b.activation
 }
 
 func (t *Table) push(w *Workspace) {
-	w.pos = len(t.heap)
+	w.heapIndex = len(t.heap)
 	t.heap = append(t.heap, w)
-	t.up(w.pos)
+	t.up(w.heapIndex)
 }
 
 func (t *Table) remove(w *Workspace) {
-	i, last := w.pos, len(t.heap)-1
+	i, last := w.heapIndex, len(t.heap)-1
 	t.swap(i, last)
 	t.heap[last] = nil
 	t.heap = t.heap[:last]
-	w.pos = -1
+	w.heapIndex = -1
 	if i < last && !t.up(i) {
 		t.down(i)
 	}
 }
 
+// fix restores the heap order after the virtual service of a workspace has changed.
 func (t *Table) fix(w *Workspace) {
-	if !t.up(w.pos) {
-		t.down(w.pos)
+	if !t.up(w.heapIndex) {
+		t.down(w.heapIndex)
 	}
 }
 
 func (t *Table) swap(i, j int) {
 	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
-	t.heap[i].pos, t.heap[j].pos = i, j
+	t.heap[i].heapIndex, t.heap[j].heapIndex = i, j
 }
 
-// up reports whether the element moved.
+// up moves the element at index i towards the root and reports whether it moved.
 func (t *Table) up(i int) bool {
 	start := i
 	for i > 0 {
@@ -52,6 +54,7 @@
 	return i != start
 }
 
+// down moves the element at index i towards the leaves.
 func (t *Table) down(i int) {
 	for {
 		child := 2*i + 1
--- a/internal/fairness/rows.go
+++ b/internal/fairness/rows.go
@@ -5,29 +5,30 @@
 	"sort"
 )
 
-// Row is one workspace's line in the virtual service table. Ahead is its virtual
-// service less the pool's virtual time. Learned holds the mean cost of each kind,
-// 0 if too few completions are known.
+// Row is the entry of one workspace in a copy of the table. Ahead is its virtual
+// service minus the pool's virtual time. Learned holds its mean cost per kind, in
+// cost units, 0 after fewer than minSamples completions.
 type Row struct {
 	Workspace string
 	Ahead     float64
 	Learned   [Kinds]float64
 }
 
-// debtShown is the debt, in mean requests of the pool, from which an account is
-// part of a copy although the workspace is not backlogged.
-const debtShown = 4
+// minReportedDebt is the debt above which Rows includes a workspace that is not
+// backlogged, as a multiple of the pool's mean request cost.
+const minReportedDebt = 4
 
-// Rows appends the accounts, sorted by name: all of them, or only those that
-// are backlogged or carry much debt.
+// Rows appends a row per account to dst, sorted by name, and returns it. If all is
+// false, it omits accounts that are not backlogged and whose debt is at most
+// minReportedDebt mean requests. dst should be empty, because all of it is sorted.
 func (t *Table) Rows(dst []Row, all bool) []Row {
 	for _, w := range t.byName {
-		if !all && w.pos < 0 && (w.virtual-t.now)*w.weight <= debtShown*t.all.value {
+		if !all && w.heapIndex < 0 && (w.virtualService-t.virtualTime)*w.weight <= minReportedDebt*t.overallMean.value {
 			continue
 		}
-		row := Row{Workspace: w.Name, Ahead: w.virtual - t.now}
-		for k, m := range w.means {
-			if m.count >= enoughSamples {
+		row := Row{Workspace: w.Name, Ahead: w.virtualService - t.virtualTime}
+		for k, m := range w.meansByKind {
+			if m.count >= minSamples {
 				row.Learned[k] = m.value
 			}
 		}
@@ -37,34 +38,36 @@
 	return dst
 }
 
-// maxCredit bounds service that one router reports for one workspace.
+// maxCredit bounds the service that one instance may report for one workspace, in
+// cost units.
 const maxCredit = 1e12
 
-// Load takes over the table of a former owner. It must be called before the
-// first charge.
+// Load restores the accounts from a copy of the previous owner's table. It must be
+// called before the first Charge. Values that are not finite are ignored. The virtual
+// service of backlogged workspaces without a row is raised to the pool's virtual time.
 func (t *Table) Load(virtualTime float64, rows []Row) {
 	if !finite(virtualTime) {
 		return
 	}
-	t.now = math.Max(t.now, virtualTime)
+	t.virtualTime = math.Max(t.virtualTime, virtualTime)
 	for _, r := range rows {
 		if !finite(r.Ahead) {
 			continue
 		}
 		w := t.Get(r.Workspace)
-		w.virtual = t.now + r.Ahead
+		w.virtualService = t.virtualTime + r.Ahead
 		for k, v := range r.Learned {
 			if v > 0 && finite(v) {
-				w.means[k] = mean{clampCost(v), enoughSamples}
-				t.means[k].add(clampCost(v))
-				t.all.add(clampCost(v))
+				w.meansByKind[k] = movingMean{clampCost(v), minSamples}
+				t.meansByKind[k].add(clampCost(v))
+				t.overallMean.add(clampCost(v))
 			}
 		}
-		w.loaded = true
+		w.fromCopy = true
 	}
 	for _, w := range t.heap {
-		if !w.loaded {
-			w.virtual = math.Max(w.virtual, t.now)
+		if !w.fromCopy {
+			w.virtualService = math.Max(w.virtualService, t.virtualTime)
 		}
 	}
 	for i := len(t.heap)/2 - 1; i >= 0; i-- {
@@ -72,18 +75,19 @@
 	}
 }
 
-// Credit adds service that a former owner gave after it had sent its table. The
-// copy does not contain workspaces at the pool's virtual time, so the service
-// counts from there at least.
+// Credit adds service, in cost units, that the previous owner granted after it had
+// sent the copy that Load restored. A workspace without a row in that copy starts
+// at the pool's virtual time at least. Values that are not finite or exceed
+// maxCredit are ignored.
 func (t *Table) Credit(workspace string, service float64) {
 	if !finite(service) || math.Abs(service) > maxCredit {
 		return
 	}
 	w := t.Get(workspace)
-	if !w.loaded {
-		w.virtual = math.Max(w.virtual, t.now)
+	if !w.fromCopy {
+		w.virtualService = math.Max(w.virtualService, t.virtualTime)
 	}
-	t.add(w, service)
+	t.addService(w, service)
 }
 
 func finite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
--- a/internal/fairness/table.go
+++ b/internal/fairness/table.go
@@ -2,52 +2,56 @@
 
 import "math"
 
-// minWeight keeps a wrong configuration from dividing by zero.
+// minWeight prevents a division by zero if a configured weight is 0 or negative.
 const minWeight = 1e-6
 
-// Workspace is the account of one workspace in one pool.
+// Workspace is the account of one workspace in one pool. It belongs to one Table.
 type Workspace struct {
 	Name string
-	// Data belongs to the user of the table.
+	// Data is for the user of the table, which does not read it.
 	Data any
-	// Running counts charges that are not yet settled.
+	// Running is the number of charged or adopted requests that are neither settled
+	// nor refunded.
 	Running int
 
-	weight    float64
-	virtual   float64 // service per weight, estimates of running work included
-	served    float64 // cost of settled work
-	means     [Kinds]mean
-	suspended int    // calls of Forget until the credit is lost
-	loaded    bool   // the account was in the table of the former owner
-	pos       int    // index in the heap, -1 = not backlogged
-	since     uint64 // order in which workspaces became backlogged
+	weight         float64
+	virtualService float64 // service per weight, in cost units; includes the estimates of running requests
+	settledCost    float64 // cost of settled requests, in cost units
+	meansByKind    [Kinds]movingMean
+	creditTicks    int    // calls of Forget until the credit kept by Suspend expires
+	fromCopy       bool   // Load has restored the account from the previous owner's table
+	heapIndex      int    // index in Table.heap; -1 if not backlogged
+	activation     uint64 // Table.activations when the workspace became backlogged; breaks ties
 }
 
-// Virtual returns the virtual service.
-func (w *Workspace) Virtual() float64 { return w.virtual }
+// Virtual returns the virtual service: the service divided by the weight, in cost
+// units, with estimates for running requests.
+func (w *Workspace) Virtual() float64 { return w.virtualService }
 
-// Served returns the cost of the work settled since the account was made.
-func (w *Workspace) Served() float64 { return w.served }
+// Served returns the cost of the requests settled since the account was created, in
+// cost units. A request of unknown cost counts with its estimate.
+func (w *Workspace) Served() float64 { return w.settledCost }
 
 // Backlogged reports whether the workspace has waiting requests.
-func (w *Workspace) Backlogged() bool { return w.pos >= 0 }
+func (w *Workspace) Backlogged() bool { return w.heapIndex >= 0 }
 
-// Table holds the accounts of all workspaces of one pool.
+// Table holds the accounts of all workspaces of one pool. It is not safe for
+// concurrent use.
 type Table struct {
-	byName  map[string]*Workspace
-	weights map[string]float64
-	heap    []*Workspace // backlogged workspaces, smallest virtual service first
-	now     float64      // virtual time of the pool
-	arrived uint64
-	means   [Kinds]mean
-	all     mean
+	byName      map[string]*Workspace
+	weights     map[string]float64
+	heap        []*Workspace // backlogged workspaces, smallest virtual service first
+	virtualTime float64      // largest virtual service at which a request was charged, or restored by Load
+	activations uint64
+	meansByKind [Kinds]movingMean
+	overallMean movingMean
 }
 
 // New returns an empty table.
 func New() *Table { return &Table{byName: map[string]*Workspace{}} }
 
-// SetWeights replaces the weights. Workspaces without a weight count as 1. The
-// map must not be changed afterwards.
+// SetWeights replaces the weights, by workspace name. Workspaces without a finite
+// weight have weight 1. The caller must not modify the map afterwards.
 func (t *Table) SetWeights(weights map[string]float64) {
 	t.weights = weights
 	for _, w := range t.byName {
@@ -62,11 +66,11 @@
 	return 1
 }
 
-// Get returns the account with the name and makes one if there is none.
+// Get returns the account of a workspace and creates it if it does not exist.
 func (t *Table) Get(name string) *Workspace {
 	w := t.byName[name]
 	if w == nil {
-		w = &Workspace{Name: name, weight: t.weightOf(name), pos: -1}
+		w = &Workspace{Name: name, weight: t.weightOf(name), heapIndex: -1}
 		t.byName[name] = w
 	}
 	return w
@@ -75,36 +79,39 @@
 // Len returns the number of accounts.
 func (t *Table) Len() int { return len(t.byName) }
 
-// VirtualTime returns the virtual time of the pool.
-func (t *Table) VirtualTime() float64 { return t.now }
+// VirtualTime returns the virtual time of the pool: the largest virtual service that
+// a workspace had when a request of it was charged.
+func (t *Table) VirtualTime() float64 { return t.virtualTime }
 
-// Activate marks a workspace as backlogged. One that returns from idle starts
-// at the pool's virtual time and so keeps debt but no credit.
+// Activate marks a workspace as backlogged. A workspace that was idle keeps its debt
+// but loses its credit: its virtual service is raised to the pool's virtual time.
+// One that Suspend has marked keeps both until its credit expires.
 func (t *Table) Activate(w *Workspace) {
-	if w.pos >= 0 {
+	if w.heapIndex >= 0 {
 		return
 	}
-	if w.suspended == 0 {
-		w.virtual = math.Max(w.virtual, t.now)
+	if w.creditTicks == 0 {
+		w.virtualService = math.Max(w.virtualService, t.virtualTime)
 	}
-	w.suspended = 0
-	t.arrived++
-	w.since = t.arrived
+	w.creditTicks = 0
+	t.activations++
+	w.activation = t.activations
 	t.push(w)
 }
 
-// Deactivate marks a workspace as idle.
+// Deactivate marks a workspace as not backlogged.
 func (t *Table) Deactivate(w *Workspace) {
-	if w.pos >= 0 {
+	if w.heapIndex >= 0 {
 		t.remove(w)
 	}
 }
 
-// Suspend marks a workspace as idle because its router is silent, not because it
-// has no waiting requests. It keeps its credit until the second call of Forget.
+// Suspend marks a workspace as not backlogged because its instance is unreachable
+// or has restarted, not because it has no waiting requests. The workspace keeps its
+// credit until the second call of Forget, or until Forget deletes its account.
 func (t *Table) Suspend(w *Workspace) {
 	t.Deactivate(w)
-	w.suspended = 2
+	w.creditTicks = 2
 }
 
 // Min returns the backlogged workspace with the smallest virtual service, or nil.
@@ -115,58 +122,62 @@
 	return t.heap[0]
 }
 
-// Charge accounts for a grant to the workspace and returns the estimate.
+// Charge adds the estimated cost of a granted request to the workspace and returns
+// it, in cost units. kind and hint are the arguments of Estimate.
 func (t *Table) Charge(w *Workspace, kind int, hint float64) float64 {
 	est := t.Estimate(w, kind, hint)
-	t.now = math.Max(t.now, w.virtual)
+	t.virtualTime = math.Max(t.virtualTime, w.virtualService)
 	w.Running++
-	t.add(w, est)
+	t.addService(w, est)
 	return est
 }
 
-// Adopt counts running work whose estimate a former owner has charged.
+// Adopt counts a running request whose estimate the previous owner has charged.
 func (t *Table) Adopt(w *Workspace) { w.Running++ }
 
-// Settle replaces the estimate of finished work by its true cost. An unknown
-// cost leaves the estimate in place and teaches nothing.
+// Settle replaces the estimate of a finished request by its true cost, both in cost
+// units. If the cost is not known, the estimate stays and the means do not change.
 func (t *Table) Settle(w *Workspace, kind int, est, cost float64, known bool) {
 	w.Running--
 	if !known {
-		w.served += est
+		w.settledCost += est
 		return
 	}
 	cost = clampCost(cost)
-	w.served += cost
-	t.learn(w, kind, cost)
-	t.add(w, cost-est)
+	w.settledCost += cost
+	t.recordCost(w, kind, cost)
+	t.addService(w, cost-est)
 }
 
-// Refund takes back the estimate of work that was never started.
+// Refund subtracts the estimate of a request that was not started.
 func (t *Table) Refund(w *Workspace, est float64) {
 	w.Running--
-	t.add(w, -est)
+	t.addService(w, -est)
 }
 
-func (t *Table) add(w *Workspace, service float64) {
-	w.virtual += service / w.weight
-	if w.pos >= 0 {
+// addService adds service in cost units, which may be negative.
+func (t *Table) addService(w *Workspace, service float64) {
+	w.virtualService += service / w.weight
+	if w.heapIndex >= 0 {
 		t.fix(w)
 	}
 }
 
-// Forget is called once a second. It drops the accounts that carry no debt, no backlog and no running work
-// and that are not configured. It bounds the table.
+// Forget deletes the accounts without debt, backlog, running requests and configured
+// weight, so that the table does not grow with every workspace name. It must be
+// called once a second, because it also counts down to the expiry of the credit that
+// Suspend keeps.
 func (t *Table) Forget() {
 	for name, w := range t.byName {
-		w.suspended = max(0, w.suspended-1)
+		w.creditTicks = max(0, w.creditTicks-1)
 		_, configured := t.weights[name]
-		if !configured && w.pos < 0 && w.Running == 0 && w.virtual <= t.now {
+		if !configured && w.heapIndex < 0 && w.Running == 0 && w.virtualService <= t.virtualTime {
 			delete(t.byName, name)
 		}
 	}
 }
 
-// Each calls f for all accounts.
+// Each calls f for all accounts, in no particular order.
 func (t *Table) Each(f func(w *Workspace)) {
 	for _, w := range t.byName {
 		f(w)
--- a/internal/fairness/table_test.go
+++ b/internal/fairness/table_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-type work struct {
+type runningWork struct {
 	w         *Workspace
 	est, cost float64
 }
 
-// Guards against a gap between backlogged workspaces beyond the bound
-// (Lmax_i+U_i)/w_i + (Lmax_j+U_j)/w_j, whatever the costs, hints, weights and the
-// order of completions are.
-func TestGapBound(t *testing.T) {
+// Guards against a service gap between backlogged workspaces above the bound
+// (Lmax_i+U_i)/w_i + (Lmax_j+U_j)/w_j, for random costs, hints, weights and orders
+// of completion.
+func TestServiceGapBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
 		n := rapid.IntRange(2, 8).Draw(t, "workspaces")
@@ -27,7 +27,7 @@
 		}
 		table.SetWeights(weights)
 		served, largest := make([]float64, n), make([]float64, n)
-		errs, worst := make([]float64, n), make([]float64, n)
+		estErrors, maxErrors := make([]float64, n), make([]float64, n)
 		var all []*Workspace
 		index := map[*Workspace]int{}
 		for i := range n {
@@ -35,27 +35,27 @@
 			table.Activate(w)
 			all, index[w] = append(all, w), i
 		}
-		var running []work
+		var running []runningWork
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if len(running) > 0 && rapid.Bool().Draw(t, "complete") {
 				k := rapid.IntRange(0, len(running)-1).Draw(t, "which")
 				x := running[k]
 				running = append(running[:k], running[k+1:]...)
 				table.Settle(x.w, 0, x.est, x.cost, true)
-				errs[index[x.w]] -= math.Abs(x.est - x.cost)
+				estErrors[index[x.w]] -= math.Abs(x.est - x.cost)
 				continue
 			}
 			w := table.Min()
 			i := index[w]
 			cost := rapid.Float64Range(1, 100).Draw(t, "cost")
 			est := table.Charge(w, 0, cost*rapid.Float64Range(0.2, 5).Draw(t, "hint error"))
-			running = append(running, work{w, est, cost})
+			running = append(running, runningWork{w, est, cost})
 			served[i] += cost
 			largest[i] = math.Max(largest[i], cost)
-			errs[i] += math.Abs(est - cost)
-			worst[i] = math.Max(worst[i], errs[i])
+			estErrors[i] += math.Abs(est - cost)
+			maxErrors[i] = math.Max(maxErrors[i], estErrors[i])
 			for j := range n {
-				bound := (largest[i]+worst[i])/all[i].weight + (largest[j]+worst[j])/all[j].weight
+				bound := (largest[i]+maxErrors[i])/all[i].weight + (largest[j]+maxErrors[j])/all[j].weight
 				if gap := served[i]/all[i].weight - served[j]/all[j].weight; gap > bound*1.000001 {
 					t.Fatalf("gap %v of %d and %d exceeds %v", gap, i, j, bound)
 				}
@@ -64,8 +64,8 @@
 	})
 }
 
-// Guards against a heap that loses its order when accounts change in place.
-func TestMinIsSmallest(t *testing.T) {
+// Guards against a wrong minimum after accounts in the heap have changed.
+func TestMinAfterUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -92,7 +92,7 @@
 	})
 }
 
-// Guards against credit saved while idle, and against debt that is forgotten.
+// Guards against a workspace that accumulates credit or loses its debt while idle.
 func TestReturnFromIdle(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -113,7 +113,8 @@
 	is.Equal(table.Min(), idle)
 }
 
-// Guards against estimates that trust a hint too far or values that are no cost.
+// Guards against estimates that follow an implausible hint, and against costs that
+// are not finite.
 func TestEstimate(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -121,47 +122,48 @@
 	is.Equal(table.Estimate(w, 0, 0), float64(defaultCost))
 	is.Equal(table.Estimate(w, 0, 70), 70.0)
 	is.Equal(table.Estimate(w, 0, math.Inf(1)), float64(MaxCost))
-	for range enoughSamples {
+	for range minSamples {
 		table.Settle(other, 0, 0, 100, true)
 	}
 	is.Equal(table.Estimate(w, 0, 5), 20.0)                // a fifth of the pool's mean
 	is.Equal(table.Estimate(w, 0, 5e6), 500.0)             // five times the pool's mean
 	is.Equal(table.Estimate(w, 0, 0), 100.0)               // the pool's mean
-	is.Equal(table.Estimate(w, 1, 5e3), 5e3)               // another kind is no bound
-	is.Equal(table.Estimate(other, 0, 5), 100.0)           // learned: hints are ignored
+	is.Equal(table.Estimate(w, 1, 5e3), 5e3)               // completions of another kind do not bound the hint
+	is.Equal(table.Estimate(other, 0, 5), 100.0)           // hints are ignored after enough completions
 	table.Settle(w, 0, 0, math.NaN(), true)                // counts as the smallest cost
-	is.True(!math.IsNaN(w.Virtual()) && w.Virtual() < 1.0) // no value may poison an account
+	is.True(!math.IsNaN(w.Virtual()) && w.Virtual() < 1.0) // NaN does not reach the account
 }
 
-// Guards against service lost or made up when a new owner loads the table.
-func TestRowsAndLoad(t *testing.T) {
+// Guards against service that is lost or counted twice when a new owner restores the
+// previous owner's table.
+func TestLoadAndCredit(t *testing.T) {
 	is := is.New(t)
-	old := New()
-	a, b := old.Get("a"), old.Get("b")
-	old.Activate(a)
-	old.Activate(b)
+	previous := New()
+	a, b := previous.Get("a"), previous.Get("b")
+	previous.Activate(a)
+	previous.Activate(b)
 	for range 8 {
-		est := old.Charge(a, 2, 30)
-		old.Settle(a, 2, est, 40, true)
+		est := previous.Charge(a, 2, 30)
+		previous.Settle(a, 2, est, 40, true)
 	}
-	fresh := New()
-	fresh.Activate(fresh.Get("b")) // reported before the table was loaded
-	fresh.Activate(fresh.Get("late"))
-	fresh.Load(old.VirtualTime(), old.Rows(nil, true))
-	fresh.Credit("a", 11)
-	fresh.Credit("new", 5)
-	fresh.Credit("a", math.NaN())
-	is.Equal(fresh.Get("a").Virtual(), a.Virtual()+11)
-	is.Equal(fresh.Get("b").Virtual(), b.Virtual())
-	is.Equal(fresh.Get("late").Virtual(), old.VirtualTime())
-	is.Equal(fresh.Get("new").Virtual(), old.VirtualTime()+5)
-	is.Equal(fresh.Min().Name, "b")
-	is.Equal(fresh.Estimate(fresh.Get("a"), 2, 1), 40.0)
-	fresh.Load(old.VirtualTime(), []Row{{Workspace: "b", Ahead: math.NaN()}})
-	is.Equal(fresh.Get("b").Virtual(), b.Virtual())
+	restored := New()
+	restored.Activate(restored.Get("b")) // backlogged before Load
+	restored.Activate(restored.Get("late"))
+	restored.Load(previous.VirtualTime(), previous.Rows(nil, true))
+	restored.Credit("a", 11)
+	restored.Credit("new", 5)
+	restored.Credit("a", math.NaN())
+	is.Equal(restored.Get("a").Virtual(), a.Virtual()+11)
+	is.Equal(restored.Get("b").Virtual(), b.Virtual())
+	is.Equal(restored.Get("late").Virtual(), previous.VirtualTime())
+	is.Equal(restored.Get("new").Virtual(), previous.VirtualTime()+5)
+	is.Equal(restored.Min().Name, "b")
+	is.Equal(restored.Estimate(restored.Get("a"), 2, 1), 40.0)
+	restored.Load(previous.VirtualTime(), []Row{{Workspace: "b", Ahead: math.NaN()}})
+	is.Equal(restored.Get("b").Virtual(), b.Virtual())
 }
 
-// Guards against a table that grows with every workspace name ever seen.
+// Guards against a table that grows with every workspace name.
 func TestForget(t *testing.T) {
 	is := is.New(t)
 	table := New()
@@ -175,7 +177,7 @@
 		table.Settle(w, 0, est, 1, true)
 	}
 	w := table.Get("kept")
-	w.virtual = 10
+	w.virtualService = 10
 	table.Activate(w)
 	table.Charge(w, 0, 1)
 	table.Forget()
--- a/internal/limits/heap.go
+++ b/internal/limits/heap.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Slots of Target.pos.
+// Indices of Target.heapIndex.
 const (
-	slotAll  = 0 // heap of all targets of the pool
-	slotNear = 1 // heap of the target's data centre
+	heapOfAll        = 0 // heap of all targets with free capacity
+	heapOfDataCentre = 1 // heap of those in the target's data centre
 )
 
-// heap orders targets by their free share, largest first. It is written out
-// because container/heap boxes its elements.
+// heap orders targets by the free share of their limit, largest first. It does not
+// use container/heap, which boxes its elements.
 type heap struct {
-	slot  int
+	index int
 	items []*Target
 }
 
@@ -22,8 +22,8 @@
 	return h.items[0]
 }
 
-// best returns the first target that is not the one to avoid, or nil.
-func (h *heap) best(avoid string) *Target {
+// topExcept returns the first target whose name is not avoid, or nil.
+func (h *heap) topExcept(avoid string) *Target {
 	t := h.top()
 	if t == nil || avoid == "" || t.Name != avoid {
 		return t
@@ -34,48 +34,50 @@
 	case 2:
 		return h.items[1]
 	}
-	if before(h.items[2], h.items[1]) {
+	if freer(h.items[2], h.items[1]) {
 		return h.items[2]
 	}
 	return h.items[1]
 }
 
-func before(a, b *Target) bool { return a.free() > b.free() }
+func freer(a, b *Target) bool { return a.freeShare() > b.freeShare() }
 
-// refresh puts the target in its heaps, moves it there, or takes it out.
-func (s *Set) refresh(t *Target, now time.Duration) {
-	if !t.room(now) {
-		s.leaveHeaps(t)
+// updateHeaps adds the target to its heaps or moves it there if it has free capacity,
+// and removes it otherwise.
+func (s *Set) updateHeaps(t *Target, now time.Duration) {
+	if !t.hasCapacity(now) {
+		s.removeFromHeaps(t)
 		return
 	}
-	s.rooms.place(t)
-	near := s.byDC[t.DataCentre]
-	if near == nil {
-		near = &heap{slot: slotNear}
-		s.byDC[t.DataCentre] = near
+	s.available.place(t)
+	local := s.availableByDC[t.DataCentre]
+	if local == nil {
+		local = &heap{index: heapOfDataCentre}
+		s.availableByDC[t.DataCentre] = local
 	}
-	near.place(t)
+	local.place(t)
 }
 
-func (s *Set) leaveHeaps(t *Target) {
-	s.rooms.remove(t)
-	if near := s.byDC[t.DataCentre]; near != nil {
-		near.remove(t)
+func (s *Set) removeFromHeaps(t *Target) {
+	s.available.remove(t)
+	if local := s.availableByDC[t.DataCentre]; local != nil {
+		local.remove(t)
 	}
 }
 
+// place adds the target, or moves it if the heap contains it.
 func (h *heap) place(t *Target) {
-	if t.pos[h.slot] < 0 {
-		t.pos[h.slot] = len(h.items)
+	if t.heapIndex[h.index] < 0 {
+		t.heapIndex[h.index] = len(h.items)
 		h.items = append(h.items, t)
 	}
-	if !h.up(t.pos[h.slot]) {
-		h.down(t.pos[h.slot])
+	if !h.up(t.heapIndex[h.index]) {
+		h.down(t.heapIndex[h.index])
 	}
 }
 
 func (h *heap) remove(t *Target) {
-	i := t.pos[h.slot]
+	i := t.heapIndex[h.index]
 	if i < 0 {
 		return
 	}
@@ -83,7 +85,7 @@
 	h.swap(i, last)
 	h.items[last] = nil
 	h.items = h.items[:last]
-	t.pos[h.slot] = -1
+	t.heapIndex[h.index] = -1
 	if i < last && !h.up(i) {
 		h.down(i)
 	}
@@ -91,15 +93,15 @@
 
 func (h *heap) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].pos[h.slot], h.items[j].pos[h.slot] = i, j
+	h.items[i].heapIndex[h.index], h.items[j].heapIndex[h.index] = i, j
 }
 
-// up reports whether the element moved.
+// up moves the element at index i towards the root and reports whether it moved.
 func (h *heap) up(i int) bool {
 	start := i
 	for i > 0 {
 		parent := (i - 1) / 2
-		if !before(h.items[i], h.items[parent]) {
+		if !freer(h.items[i], h.items[parent]) {
 			break
 		}
 		h.swap(i, parent)
@@ -108,16 +110,17 @@
 	return i != start
 }
 
+// down moves the element at index i towards the leaves.
 func (h *heap) down(i int) {
 	for {
 		child := 2*i + 1
 		if child >= len(h.items) {
 			return
 		}
-		if right := child + 1; right < len(h.items) && before(h.items[right], h.items[child]) {
+		if right := child + 1; right < len(h.items) && freer(h.items[right], h.items[child]) {
 			child = right
 		}
-		if !before(h.items[child], h.items[i]) {
+		if !freer(h.items[child], h.items[i]) {
 			return
 		}
 		h.swap(i, child)
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	life    = 10 * time.Second
-	lag     = 2 * time.Second
-	maxLife = 10 * time.Minute
+	evidenceLife = 10 * time.Second
+	reportLag    = 2 * time.Second
+	requestLimit = 10 * time.Minute
 )
 
 func config(name, dc string, warm, cold int) Config {
 	return Config{Name: name, DataCentre: dc, WarmCapacity: warm, ColdCapacity: cold,
-		EvidenceLife: life, ReportLag: lag, RequestLimit: maxLife}
+		EvidenceLife: evidenceLife, ReportLag: reportLag, RequestLimit: requestLimit}
 }
 
-// fixture is a set with one target at a simulated time.
+// fixture is a set with one target and a simulated clock.
 type fixture struct {
 	*Set
-	now   time.Duration
-	t     *Target
-	works []*Work
+	now     time.Duration
+	t       *Target
+	running []*Work
 }
 
 func newFixture(warm, cold int) *fixture {
@@ -37,7 +37,8 @@
 	return f
 }
 
-// begin starts work as long as the target has room, at most n, and returns how much.
+// begin starts up to n requests while the target has free capacity and returns how
+// many it started.
 func (f *fixture) begin(n int) int {
 	for i := range n {
 		t := f.Pick("dc", "")
@@ -46,14 +47,14 @@
 		}
 		w := &Work{}
 		f.Begin(t, w, f.now)
-		f.works = append(f.works, w)
+		f.running = append(f.running, w)
 	}
 	return n
 }
 
 func (f *fixture) pop() *Work {
-	w := f.works[0]
-	f.works = f.works[1:]
+	w := f.running[0]
+	f.running = f.running[1:]
 	return w
 }
 
@@ -61,24 +62,24 @@
 	f.End(f.pop(), api.Outcome{Result: r, Warmth: w, Boot: boot}, f.now)
 }
 
-// warmUp brings the target to its warm capacity without running work.
+// warmUp raises the limit of the target to its warm capacity without starting work.
 func (f *fixture) warmUp() {
 	for f.t.Limit() < f.t.WarmCapacity {
 		f.Report("t", Report{Warmth: api.WarmthWarm, Boot: 1}, f.now)
 	}
 }
 
-// Guards against a limit that ramps without evidence, stays up at a sign of cold
-// (section 9.5), or never comes up.
+// Guards against a limit that grows without evidence, stays high when the target is
+// cold (section 9.5), or never grows.
 func TestLimit(t *testing.T) {
 	cases := []struct {
-		name string
-		do   func(f *fixture)
-		want int
+		name  string
+		apply func(f *fixture)
+		want  int
 	}{
 		{"unknown is cold", func(*fixture) {}, 2},
-		{"warm head", func(f *fixture) { f.begin(1); f.Confirm(f.works[0], api.WarmthWarm, 1, f.now) }, 3},
-		{"head without state", func(f *fixture) { f.begin(1); f.Confirm(f.works[0], "", 0, f.now) }, 2},
+		{"warm response header", func(f *fixture) { f.begin(1); f.Confirm(f.running[0], api.WarmthWarm, 1, f.now) }, 3},
+		{"response header without state", func(f *fixture) { f.begin(1); f.Confirm(f.running[0], "", 0, f.now) }, 2},
 		{"completion", func(f *fixture) { f.begin(1); f.end(api.ResultOK, "", 0) }, 3},
 		{"cold completion", func(f *fixture) { f.begin(1); f.end(api.ResultOK, api.WarmthCold, 1) }, 2},
 		{"cancelled", func(f *fixture) { f.begin(1); f.end(api.ResultCancelled, "", 0) }, 2},
@@ -86,21 +87,21 @@
 		{"report without state", func(f *fixture) { f.Report("t", Report{}, f.now) }, 2},
 		{"warm capacity", func(f *fixture) { f.warmUp(); f.warmUp(); f.Report("t", Report{Warmth: api.WarmthWarm}, f.now) }, 8},
 		{"cold report", func(f *fixture) { f.warmUp(); f.Report("t", Report{Warmth: api.WarmthCold, Boot: 1}, f.now) }, 2},
-		{"cold head", func(f *fixture) { f.warmUp(); f.begin(1); f.Confirm(f.works[0], api.WarmthCold, 1, f.now) }, 2},
-		{"new boot in a head", func(f *fixture) { f.warmUp(); f.begin(1); f.Confirm(f.works[0], "", 2, f.now) }, 2},
+		{"cold response header", func(f *fixture) { f.warmUp(); f.begin(1); f.Confirm(f.running[0], api.WarmthCold, 1, f.now) }, 2},
+		{"new boot in a response header", func(f *fixture) { f.warmUp(); f.begin(1); f.Confirm(f.running[0], "", 2, f.now) }, 2},
 		{"new boot in a report", func(f *fixture) { f.warmUp(); f.Report("t", Report{Boot: 2}, f.now) }, 2},
 		{"new boot, warm", func(f *fixture) { f.warmUp(); f.Report("t", Report{Boot: 2, Warmth: api.WarmthWarm}, f.now) }, 3},
 		{"failure", func(f *fixture) { f.warmUp(); f.begin(1); f.end(api.ResultFailed, "", 0) }, 2},
 		{"refused poll", func(f *fixture) { f.warmUp(); f.Refused("t", f.now) }, 2},
-		{"silent poll", func(f *fixture) { f.warmUp(); f.Silent("t", f.now) }, 8},
-		{"no evidence while running", func(f *fixture) { f.warmUp(); f.begin(1); f.Tick(f.now + life + 1) }, 2},
-		{"idle without evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + life + 1) }, 2},
-		{"young evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + life) }, 8},
-		{"late answer of an old boot", func(f *fixture) {
+		{"poll without a report", func(f *fixture) { f.warmUp(); f.Silent("t", f.now) }, 8},
+		{"no evidence while running", func(f *fixture) { f.warmUp(); f.begin(1); f.Tick(f.now + evidenceLife + 1) }, 2},
+		{"idle without evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + evidenceLife + 1) }, 2},
+		{"young evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + evidenceLife) }, 8},
+		{"responses sent before a restart", func(f *fixture) {
 			f.warmUp()
 			f.begin(2)
 			f.Report("t", Report{Boot: 2, Warmth: api.WarmthCold}, f.now)
-			f.Confirm(f.works[0], api.WarmthWarm, 1, f.now)
+			f.Confirm(f.running[0], api.WarmthWarm, 1, f.now)
 			f.end(api.ResultOK, api.WarmthWarm, 1)
 			f.end(api.ResultOK, api.WarmthWarm, 1)
 		}, 2},
@@ -111,15 +112,15 @@
 				f.Report("t", Report{Boot: 1, Warmth: api.WarmthWarm}, f.now)
 			}
 		}, 8},
-		{"cold head long ago", func(f *fixture) {
+		{"warm reports after a cold response header", func(f *fixture) {
 			f.begin(1)
-			f.Confirm(f.works[0], api.WarmthCold, 1, f.now)
+			f.Confirm(f.running[0], api.WarmthCold, 1, f.now)
 			f.warmUp()
 			f.end(api.ResultOK, api.WarmthCold, 1)
 		}, 8},
 		{"leaving", func(f *fixture) { f.warmUp(); f.SetLeaving(map[string]bool{"t": true}, f.now) }, 0},
 		{"out", func(f *fixture) { f.warmUp(); f.SetOut(map[string]bool{"dc": true}, f.now) }, 0},
-		{"back is cold", func(f *fixture) {
+		{"cold after a return", func(f *fixture) {
 			f.warmUp()
 			f.SetOut(map[string]bool{"dc": true}, f.now)
 			f.SetOut(nil, f.now)
@@ -129,7 +130,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(8, 2)
-			c.do(f)
+			c.apply(f)
 			if f.t.Limit() != c.want {
 				t.Fatalf("limit is %d, want %d", f.t.Limit(), c.want)
 			}
@@ -137,33 +138,33 @@
 	}
 }
 
-// Guards against more unconfirmed work than the cold capacity at a warm target.
-func TestUnconfirmed(t *testing.T) {
+// Guards against more unconfirmed requests than the cold capacity at a warm target.
+func TestUnconfirmedWithinColdCapacity(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 2)
 	f.warmUp()
 	is.Equal(f.begin(8), 2)
-	f.Report("t", Report{Warmth: api.WarmthWarm, Boot: 1, Running: 2}, f.now+lag) // not older than the lag
+	f.Report("t", Report{Warmth: api.WarmthWarm, Boot: 1, Running: 2}, f.now+reportLag) // started exactly ReportLag ago: not confirmed
 	is.Equal(f.t.Unconfirmed(), 2)
-	f.Report("t", Report{Warmth: api.WarmthWarm, Boot: 1, Running: 2}, f.now+lag+1)
+	f.Report("t", Report{Warmth: api.WarmthWarm, Boot: 1, Running: 2}, f.now+reportLag+1)
 	is.Equal(f.t.Unconfirmed(), 0)
-	f.now += lag + 1
+	f.now += reportLag + 1
 	is.Equal(f.begin(8), 2)
-	f.Confirm(f.works[2], "", 0, f.now) // says nothing of warmth
+	f.Confirm(f.running[2], "", 0, f.now) // a header without warmth confirms nothing
 	is.Equal(f.t.Unconfirmed(), 2)
-	f.Report("t", Report{Boot: 2}, f.now) // voids all confirmations
+	f.Report("t", Report{Boot: 2}, f.now) // a restart voids all confirmations
 	is.Equal(f.t.Unconfirmed(), 4)
 }
 
-// Guards against a dead target that draws in all work because it looks free.
-func TestPauseAfterFailure(t *testing.T) {
+// Guards against a failed target that attracts all requests because it looks free.
+func TestBackoffAfterFailure(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 2)
-	for i, pause := range []time.Duration{1, 2, 4, 8, 16, 20, 20} {
+	for i, backoff := range []time.Duration{1, 2, 4, 8, 16, 20, 20} {
 		is.Equal(f.begin(1), 1)
 		f.end(api.ResultFailed, "", 0)
-		is.Equal(f.begin(1), 0) // paused
-		f.now += pause * firstPause
+		is.Equal(f.begin(1), 0) // back-off
+		f.now += backoff * initialBackoff
 		f.Tick(f.now - 1)
 		is.Equal(f.begin(1), 0) // not yet
 		f.Tick(f.now)
@@ -174,49 +175,51 @@
 	is.Equal(f.t.failures, 0)
 }
 
-// Guards against work of a dead router that is forgotten too early, or never.
-func TestOrphans(t *testing.T) {
+// Guards against work of an unreachable instance that is removed while it may still
+// run, or never.
+func TestOrphanedWork(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(2, 2)
 	is.Equal(f.begin(2), 2)
-	f.Orphan(f.works[0], f.now)
-	f.Orphan(f.works[1], f.now)
-	f.Report("t", Report{}, f.now+lag) // may be from before the router's death
+	f.Orphan(f.running[0], f.now)
+	f.Orphan(f.running[1], f.now)
+	f.Report("t", Report{}, f.now+reportLag) // may describe the target before the work was orphaned
 	is.Equal(f.t.Orphans(), 2)
-	f.now += lag + 1
+	f.now += reportLag + 1
 	f.Report("t", Report{Running: 1}, f.now)
 	is.Equal(f.t.Orphans(), 1)
 	is.Equal(f.begin(2), 1)
-	f.Report("t", Report{Running: 2}, f.now) // one of them is the new one
+	f.Report("t", Report{Running: 2}, f.now) // includes the new request
 	is.Equal(f.t.Orphans(), 1)
-	f.Tick(f.now + maxLife)
-	is.Equal(f.t.Orphans(), 0) // the request limit has passed
+	f.Tick(f.now + requestLimit)
+	is.Equal(f.t.Orphans(), 0) // RequestLimit has passed
 	is.Equal(f.t.Used(), 1)
 }
 
-// Guards against work that only the target knows of, and against its double
-// count once a router reports it.
-func TestForeignWork(t *testing.T) {
+// Guards against work that only the target knows of and that does not count, or that
+// counts twice once an instance reports it.
+func TestUntrackedWork(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 4)
 	f.Gate(f.now+time.Second, f.now)
-	is.Equal(f.begin(1), 0) // nothing before the first report
+	is.Equal(f.begin(1), 0) // no work before the first report
 	f.Report("t", Report{Running: 2, Queued: 1}, f.now)
 	is.Equal(f.t.Used(), 3)
 	is.Equal(f.begin(4), 1)
-	f.Report("t", Report{Running: 4}, f.now) // may or may not contain the new one
+	f.Report("t", Report{Running: 4}, f.now) // may or may not include the new request
 	is.Equal(f.t.Used(), 4)
 	f.Adopt(f.t, &Work{}, 0, true, f.now)
-	is.Equal(f.t.Used(), 4) // part of the foreign work is known now
-	f.now += 3 * lag
+	is.Equal(f.t.Used(), 4) // part of the untracked work is now tracked
+	f.now += 3 * reportLag
 	f.Report("t", Report{Running: 2}, f.now)
 	is.Equal(f.t.Used(), 2)
 	f.Gate(f.now+time.Second, f.now)
 	f.Tick(f.now + time.Second)
-	is.Equal(f.begin(1), 1) // a gate ends by itself
+	is.Equal(f.begin(1), 1) // the gate ends without a report
 }
 
-// Guards against the wrong choice of target.
+// Guards against a pick that ignores the free share, the data centre or the target to
+// avoid.
 func TestPick(t *testing.T) {
 	is := is.New(t)
 	s := NewSet()
@@ -227,17 +230,17 @@
 	for _, name := range []string{"a", "b", "c"} {
 		s.Begin(s.Target(name), &Work{}, 0)
 	}
-	is.Equal(s.Pick("x", "").Name, "d")   // the largest free share, though elsewhere
+	is.Equal(s.Pick("x", "").Name, "d")   // the largest free share, in another data centre
 	is.True(s.Pick("x", "d").Name != "d") // avoided
 	s.SetLeaving(map[string]bool{"a": true, "b": true, "c": true}, 0)
-	is.Equal(s.Pick("x", "d").Name, "d") // no other has room
+	is.Equal(s.Pick("x", "d").Name, "d") // no other has free capacity
 	s.SetOut(map[string]bool{"y": true}, 0)
 	is.True(s.Pick("x", "") == nil)
 }
 
-// Guards against heaps that lose a target with room or offer one without, and
-// against counts that drift, in any sequence of events.
-func TestSetAgainstModel(t *testing.T) {
+// Guards against heaps that miss a target with free capacity or return one without,
+// and against counts that diverge from the work, after random operations.
+func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := NewSet(), time.Minute
 		var cs []Config
@@ -248,13 +251,13 @@
 		var works []*Work
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			works = step(t, s, cs, works, now)
-			verify(t, s, works, now)
+			works = applyRandomOperation(t, s, cs, works, now)
+			checkInvariants(t, s, works, now)
 		}
 	})
 }
 
-func step(t *rapid.T, s *Set, cs []Config, works []*Work, now time.Duration) []*Work {
+func applyRandomOperation(t *rapid.T, s *Set, cs []Config, works []*Work, now time.Duration) []*Work {
 	name := cs[rapid.IntRange(0, len(cs)-1).Draw(t, "target")].Name
 	warmth := rapid.SampledFrom([]api.Warmth{"", api.WarmthWarm, api.WarmthCold}).Draw(t, "warmth")
 	boot := uint64(rapid.IntRange(0, 3).Draw(t, "boot"))
@@ -296,10 +299,12 @@
 	return works
 }
 
-func verify(t *rapid.T, s *Set, works []*Work, now time.Duration) {
-	s.Tick(now) // pauses may have ended
+// checkInvariants compares the counts of the set with the work, and Pick with a scan
+// of all targets.
+func checkInvariants(t *rapid.T, s *Set, works []*Work, now time.Duration) {
+	s.Tick(now) // a back-off may have ended
 	best := -1.0
-	for _, x := range s.all {
+	for _, x := range s.targets {
 		used, unconfirmed, orphans := 0, 0, 0
 		for _, w := range works {
 			if w.target == x {
@@ -312,18 +317,18 @@
 				}
 			}
 		}
-		if used != x.used || unconfirmed != x.unconfirmed || orphans != x.orphans {
-			t.Fatalf("%s counts %d, %d, %d, want %d, %d, %d", x.Name, x.used, x.unconfirmed, x.orphans, used, unconfirmed, orphans)
+		if used != x.tracked || unconfirmed != x.unconfirmed || orphans != x.orphans {
+			t.Fatalf("%s counts %d, %d, %d, want %d, %d, %d", x.Name, x.tracked, x.unconfirmed, x.orphans, used, unconfirmed, orphans)
 		}
 		if x.limit < x.ColdCapacity || x.limit > x.WarmCapacity {
 			t.Fatalf("%s has limit %d", x.Name, x.limit)
 		}
-		if x.room(now) {
-			best = max(best, x.free())
+		if x.hasCapacity(now) {
+			best = max(best, x.freeShare())
 		}
 	}
 	picked := s.Pick("0", "")
-	if (picked == nil) != (best < 0) || picked != nil && (picked.free() != best || !picked.room(now)) {
+	if (picked == nil) != (best < 0) || picked != nil && (picked.freeShare() != best || !picked.hasCapacity(now)) {
 		t.Fatalf("picked %v, want free share %v", picked, best)
 	}
 }
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -6,7 +6,7 @@
 	"nutmegrouter/internal/api"
 )
 
-// Report is what a target said about its load.
+// Report is a load report of a target. Boot is its boot number, 0 if unknown.
 type Report struct {
 	Warmth  api.Warmth
 	Boot    uint64
@@ -14,100 +14,105 @@
 	Queued  int // requests admitted but not yet running
 }
 
-// maxReported bounds the counts of a report against nonsense.
-const maxReported = 1 << 20
+// maxReportedCount limits implausible counts in a report.
+const maxReportedCount = 1 << 20
 
-// Report handles a load report that was received now. It describes the target
-// at some time within the last report lag.
+// Report handles a load report that was received now. The report describes the
+// target at some time within the last ReportLag. Reports of unknown targets are
+// ignored.
 func (s *Set) Report(name string, r Report, now time.Duration) {
 	t := s.byName[name]
 	if t == nil {
 		return
 	}
-	t.gated = false
+	t.awaitingReport = false
 	if r.Boot != 0 && r.Boot < t.boot && now-t.bootAt > t.ReportLag {
-		t.restart(r.Boot, now) // the target counts its boots from the start again
+		t.recordBoot(r.Boot, now) // the target has reset its boot counter
 	}
-	current := r.Boot == 0 || r.Boot >= t.boot
+	currentBoot := r.Boot == 0 || r.Boot >= t.boot
 	if t.observe(r.Warmth, r.Boot, now) {
 		t.confirmBefore(now - t.ReportLag)
-		t.grow(now)
+		t.recordEvidence(now)
 	}
-	if current {
-		s.reconcile(t, r.reported(), now)
+	if currentBoot {
+		s.reconcile(t, r.total(), now)
 	}
-	s.refresh(t, now)
+	s.updateHeaps(t, now)
 }
 
-func (r Report) reported() int {
-	return min(max(0, r.Running), maxReported) + min(max(0, r.Queued), maxReported)
+func (r Report) total() int {
+	return min(max(0, r.Running), maxReportedCount) + min(max(0, r.Queued), maxReportedCount)
 }
 
-// Silent handles a target that gives no load reports: it ends the gate.
+// Silent handles a poll that yielded no load report: the target no longer waits for
+// its first report (see Gate).
 func (s *Set) Silent(name string, now time.Duration) {
 	if t := s.byName[name]; t != nil {
-		t.gated = false
-		s.refresh(t, now)
+		t.awaitingReport = false
+		s.updateHeaps(t, now)
 	}
 }
 
-// Refused handles a refused or reset connection to the target.
+// Refused handles a poll whose connection the target refused or reset. It counts as
+// a failure of the target.
 func (s *Set) Refused(name string, now time.Duration) {
 	if t := s.byName[name]; t != nil {
-		t.gated = false
-		t.fail(now, "failed")
-		s.refresh(t, now)
+		t.awaitingReport = false
+		t.recordFailure(now, "failed")
+		s.updateHeaps(t, now)
 	}
 }
 
-// confirmBefore confirms work that was started before the time.
+// confirmBefore confirms all work that was started before the given time.
 func (t *Target) confirmBefore(before time.Duration) {
-	for w := t.works; w != nil && t.unconfirmed > 0; w = w.next {
+	for w := t.newestWork; w != nil && t.unconfirmed > 0; w = w.next {
 		if w.started < before {
 			t.confirm(w)
 		}
 	}
 }
 
-// reconcile compares the reported load with the work known over the report lag.
-// What exceeds the known work of living routers is work of dead ones: orphans,
-// and foreign work that was started under a former owner.
+// reconcile compares the reported load with the tracked work of reachable instances
+// over the last ReportLag. Load in excess of it belongs to unreachable instances: it
+// is either orphaned, or untracked because it was started under a previous owner.
 func (s *Set) reconcile(t *Target, reported int, now time.Duration) {
-	t.live.set(t.used-t.orphans, now, t.ReportLag)
-	low, high := t.live.bounds()
-	most, least := t.bound(reported, low), max(0, reported-high)
-	s.clearOrphans(t, most, now)
-	t.foreign = max(0, min(max(t.foreign, least-t.orphans), most-t.orphans))
+	t.liveHistory.set(t.tracked-t.orphans, now, t.ReportLag)
+	low, high := t.liveHistory.bounds()
+	upper, lower := t.excessBound(reported, low), max(0, reported-high)
+	s.clearOrphans(t, upper, now)
+	t.untracked = max(0, min(max(t.untracked, lower-t.orphans), upper-t.orphans))
 }
 
-// bound returns how much of the reported load may be work of dead routers. The
-// smallest known work within the report lag gives a strict bound. Under full load
-// the known work dips for a moment whenever a slot changes hands, and the strict
-// bound would keep slots blocked for minutes; so at a warm target the bound is
-// taken from the usual value if that is steady and two reports agree.
-func (t *Target) bound(reported, low int) int {
+// excessBound returns how much of the reported load may be work of unreachable
+// instances. The minimum of the tracked work within the ReportLag gives a strict
+// bound. Under full load the tracked work dips for a moment whenever one request ends
+// and the next begins, and the strict bound would block slots for minutes. At a warm
+// target with a steady mean of the tracked work, the bound therefore follows from the
+// mean, as the larger value of two successive reports.
+func (t *Target) excessBound(reported, low int) int {
 	strict := max(0, reported-low)
-	now := strict
-	if usual, ok := t.live.steady(); ok && t.warm {
-		now = max(0, reported-usual)
+	current := strict
+	if mean, ok := t.liveHistory.steady(); ok && t.warm {
+		current = max(0, reported-mean)
 	}
-	last := t.excess
-	t.excess = now
-	return min(strict, max(now, last))
+	previous := t.lastExcess
+	t.lastExcess = current
+	return min(strict, max(current, previous))
 }
 
-// clearOrphans drops the oldest orphans beyond the number that may still run.
-// Only those count whose router was dead when the report was taken.
-func (s *Set) clearOrphans(t *Target, most int, now time.Duration) {
-	settled := 0
-	asOf := now - t.ReportLag
-	for w := t.works; w != nil; {
+// clearOrphans removes orphans in excess of limit, the number that may still run,
+// starting with those that were added first. It considers only work that was already orphaned when the report was
+// taken.
+func (s *Set) clearOrphans(t *Target, limit int, now time.Duration) {
+	eligible := 0
+	reportedAt := now - t.ReportLag
+	for w := t.newestWork; w != nil; {
 		next := w.next
-		if w.orphan && w.orphaned < asOf {
-			settled++
-			if settled > most {
+		if w.orphan && w.orphanedAt < reportedAt {
+			eligible++
+			if eligible > limit {
 				s.unlink(w, now)
-				s.changed(t, now, "clear")
+				s.recordChange(t, now, "clear")
 			}
 		}
 		w = next
--- a/internal/limits/set.go
+++ b/internal/limits/set.go
@@ -6,175 +6,187 @@
 	"nutmegrouter/internal/api"
 )
 
-// Change is a change of a target's state for the timeline.
+// Change is a change of a target's state. What is one of:
+//   - "warm": evidence that the target is warm
+//   - "cold", "boot", "failed", "expired": no longer warm, because the target said so,
+//     restarted, failed, or gave no evidence for the EvidenceLife
+//   - "leaving", "out", "back": availability, see SetLeaving and SetOut
+//   - "clear": orphaned work no longer counts
 type Change struct {
 	Target string
-	What   string // warm, cold, boot, failed, expired, leaving, out, back, clear
+	What   string
 }
 
-// maxChanges bounds the changes kept between two calls of Changes.
+// maxChanges bounds the changes kept between two calls of Changes. Further changes
+// are dropped.
 const maxChanges = 1024
 
 // Set holds the targets of one pool.
 type Set struct {
-	byName  map[string]*Target
-	all     []*Target
-	rooms   heap             // targets with room
-	byDC    map[string]*heap // the same per data centre
-	out     map[string]bool
-	leaving map[string]bool
-	gateEnd time.Duration
-	changes []Change
+	byName         map[string]*Target
+	targets        []*Target
+	available      heap             // targets with free capacity
+	availableByDC  map[string]*heap // targets with free capacity, by data centre
+	outDataCentres map[string]bool
+	leavingTargets map[string]bool
+	gateUntil      time.Duration
+	changes        []Change
 }
 
 // NewSet returns a set without targets.
 func NewSet() *Set {
-	return &Set{byName: map[string]*Target{}, byDC: map[string]*heap{}}
+	return &Set{byName: map[string]*Target{}, availableByDC: map[string]*heap{}}
 }
 
-// Target returns the target with the name, or nil.
+// Target returns the target with the given name, or nil.
 func (s *Set) Target(name string) *Target { return s.byName[name] }
 
-// Targets returns all targets. The slice must not be changed.
-func (s *Set) Targets() []*Target { return s.all }
+// Targets returns all targets, including removed ones with running work. The caller
+// must not modify the slice.
+func (s *Set) Targets() []*Target { return s.targets }
 
-// Changes returns and clears the state changes since the last call. The slice
-// is reused.
+// Changes returns the state changes since the last call, at most maxChanges. The next
+// change overwrites the slice.
 func (s *Set) Changes() []Change {
 	c := s.changes
 	s.changes = s.changes[:0]
 	return c
 }
 
-func (s *Set) changed(t *Target, _ time.Duration, what string) {
+func (s *Set) recordChange(t *Target, _ time.Duration, what string) {
 	if len(s.changes) < maxChanges {
 		s.changes = append(s.changes, Change{t.Name, what})
 	}
 }
 
-// Configure replaces the configuration. New targets start cold. A target that
-// is no longer configured gets nothing new and goes once its work has ended.
-func (s *Set) Configure(targets []Config, now time.Duration) {
-	keep := make(map[string]bool, len(targets))
-	for _, c := range targets {
+// Configure replaces the list of targets. New targets start cold. A target that is
+// no longer in the list gets no new work and is deleted once its work has ended.
+// Capacities below 1 count as 1, and the cold capacity is at most the warm capacity.
+func (s *Set) Configure(configs []Config, now time.Duration) {
+	configured := make(map[string]bool, len(configs))
+	for _, c := range configs {
 		c.WarmCapacity = max(1, c.WarmCapacity)
 		c.ColdCapacity = min(max(1, c.ColdCapacity), c.WarmCapacity)
-		keep[c.Name] = true
+		configured[c.Name] = true
 		t := s.byName[c.Name]
 		if t == nil {
-			t = &Target{limit: c.ColdCapacity, set: s, pos: [2]int{-1, -1}, gated: now < s.gateEnd, gateEnd: s.gateEnd}
+			t = &Target{limit: c.ColdCapacity, set: s, heapIndex: [2]int{-1, -1}, awaitingReport: now < s.gateUntil, gateUntil: s.gateUntil}
 			s.byName[c.Name] = t
-			s.all = append(s.all, t)
+			s.targets = append(s.targets, t)
 		}
-		s.leaveHeaps(t)
+		s.removeFromHeaps(t)
 		t.Config, t.removed = c, false
 		t.limit = min(max(t.limit, c.ColdCapacity), c.WarmCapacity)
 	}
-	for _, t := range s.all {
-		t.removed = !keep[t.Name]
+	for _, t := range s.targets {
+		t.removed = !configured[t.Name]
 	}
 	s.refreshAll(now)
 }
 
-// SetOut sets the data centres that are out of service.
-func (s *Set) SetOut(out map[string]bool, now time.Duration) {
-	s.out = out
+// SetOut replaces the set of data centres that are out of service: their targets get
+// no new work. The caller must not modify the map afterwards.
+func (s *Set) SetOut(dataCentres map[string]bool, now time.Duration) {
+	s.outDataCentres = dataCentres
 	s.refreshAll(now)
 }
 
-// SetLeaving sets the names of the targets that are leaving.
-func (s *Set) SetLeaving(leaving map[string]bool, now time.Duration) {
-	s.leaving = leaving
+// SetLeaving replaces the set of targets, by name, that are leaving the pool: they
+// get no new work. The caller must not modify the map afterwards.
+func (s *Set) SetLeaving(targets map[string]bool, now time.Duration) {
+	s.leavingTargets = targets
 	s.refreshAll(now)
 }
 
-// Gate keeps all targets, those configured until then included, free of new work
-// until each has sent a load report or the time has come. A new owner uses it
-// because work of a dead router is known to the targets alone.
+// Gate withholds new work from each target until it has been polled or the time until
+// has passed. It applies to all targets, including those configured before that time.
+// A new owner calls it because work of an unreachable instance is visible only in the
+// load reports of the targets.
 func (s *Set) Gate(until, now time.Duration) {
-	s.gateEnd = until
-	for _, t := range s.all {
-		t.gated, t.gateEnd = true, until
-		s.refresh(t, now)
+	s.gateUntil = until
+	for _, t := range s.targets {
+		t.awaitingReport, t.gateUntil = true, until
+		s.updateHeaps(t, now)
 	}
 }
 
 func (s *Set) refreshAll(now time.Duration) {
-	kept := s.all[:0]
-	for _, t := range s.all {
-		s.markAway(t, now)
-		s.refresh(t, now)
-		if t.removed && t.used == 0 {
+	remaining := s.targets[:0]
+	for _, t := range s.targets {
+		s.updateAvailability(t, now)
+		s.updateHeaps(t, now)
+		if t.removed && t.tracked == 0 {
 			delete(s.byName, t.Name)
 			continue
 		}
-		kept = append(kept, t)
+		remaining = append(remaining, t)
 	}
-	clear(s.all[len(kept):])
-	s.all = kept
+	clear(s.targets[len(remaining):])
+	s.targets = remaining
 }
 
-// markAway updates whether the target is leaving or out. A target that comes
-// back has to show that it is warm again.
-func (s *Set) markAway(t *Target, now time.Duration) {
-	was := t.leaving || t.out
-	t.leaving, t.out = s.leaving[t.Name], s.out[t.DataCentre]
+// updateAvailability updates whether the target is leaving or out of service. A target
+// that returns starts cold.
+func (s *Set) updateAvailability(t *Target, now time.Duration) {
+	wasUnavailable := t.leaving || t.out
+	t.leaving, t.out = s.leavingTargets[t.Name], s.outDataCentres[t.DataCentre]
 	switch {
-	case t.leaving && !was:
-		s.changed(t, now, "leaving")
-	case t.out && !was:
-		s.changed(t, now, "out")
-	case was && !t.leaving && !t.out:
-		s.changed(t, now, "back")
+	case t.leaving && !wasUnavailable:
+		s.recordChange(t, now, "leaving")
+	case t.out && !wasUnavailable:
+		s.recordChange(t, now, "out")
+	case wasUnavailable && !t.leaving && !t.out:
+		s.recordChange(t, now, "back")
 		t.warm = false
 		t.limit = t.ColdCapacity
 	}
 }
 
-// Pick returns the target with the largest free share of its limit, or nil if
-// none has room. Equal shares prefer the data centre; the target named avoid is
-// taken only if no other has room.
+// Pick returns the target with the largest free share of its limit, or nil if none
+// has free capacity. Among equal shares it prefers the given data centre. It returns
+// the target named avoid only if no other has free capacity.
 func (s *Set) Pick(dataCentre, avoid string) *Target {
-	best := s.rooms.best(avoid)
+	best := s.available.topExcept(avoid)
 	if best == nil {
-		return s.rooms.top()
+		return s.available.top()
 	}
-	if near := s.byDC[dataCentre]; near != nil {
-		if t := near.best(avoid); t != nil && t.free() >= best.free() {
+	if local := s.availableByDC[dataCentre]; local != nil {
+		if t := local.topExcept(avoid); t != nil && t.freeShare() >= best.freeShare() {
 			return t
 		}
 	}
 	return best
 }
 
-// Begin counts work that is granted now.
+// Begin adds unconfirmed work, granted now, to the target and overwrites w.
 func (s *Set) Begin(t *Target, w *Work, now time.Duration) {
 	*w = Work{started: now}
 	s.link(t, w)
-	t.live.set(t.used-t.orphans, now, t.ReportLag)
-	s.refresh(t, now)
+	t.liveHistory.set(t.tracked-t.orphans, now, t.ReportLag)
+	s.updateHeaps(t, now)
 }
 
-// Adopt counts work that a router reports as started under a former owner.
+// Adopt adds work that an instance reports as started under a previous owner and
+// overwrites w. If the target has untracked work, the new work counts as part of it.
 func (s *Set) Adopt(t *Target, w *Work, started time.Duration, confirmed bool, now time.Duration) {
 	*w = Work{started: started, confirmed: confirmed}
 	s.link(t, w)
-	t.live.set(t.live.value, now, t.ReportLag)
-	t.live.shift(1)
-	if t.foreign > 0 {
-		t.foreign--
+	t.liveHistory.set(t.liveHistory.value, now, t.ReportLag)
+	t.liveHistory.shift(1)
+	if t.untracked > 0 {
+		t.untracked--
 	}
-	s.refresh(t, now)
+	s.updateHeaps(t, now)
 }
 
 func (s *Set) link(t *Target, w *Work) {
 	w.target = t
-	w.next = t.works
+	w.next = t.newestWork
 	if w.next != nil {
 		w.next.prev = w
 	}
-	t.works = w
-	t.used++
+	t.newestWork = w
+	t.tracked++
 	if !w.confirmed {
 		t.unconfirmed++
 	}
@@ -185,12 +197,12 @@
 	if w.prev != nil {
 		w.prev.next = w.next
 	} else {
-		t.works = w.next
+		t.newestWork = w.next
 	}
 	if w.next != nil {
 		w.next.prev = w.prev
 	}
-	t.used--
+	t.tracked--
 	if !w.confirmed {
 		t.unconfirmed--
 	}
@@ -198,29 +210,30 @@
 		t.orphans--
 	}
 	w.target, w.prev, w.next = nil, nil, nil
-	t.live.set(t.used-t.orphans, now, t.ReportLag)
+	t.liveHistory.set(t.tracked-t.orphans, now, t.ReportLag)
 }
 
-// Confirm handles the first byte of a response.
+// Confirm handles a response header. If it is evidence that the target is warm, it
+// confirms the work and raises the limit by one, up to the warm capacity.
 func (s *Set) Confirm(w *Work, warmth api.Warmth, boot uint64, now time.Duration) {
 	t := w.target
 	if t == nil {
 		return
 	}
-	w.seen, w.cold = true, warmth == api.WarmthCold
+	w.headerReceived, w.headerCold = true, warmth == api.WarmthCold
 	if t.observe(warmth, boot, now) {
 		t.confirm(w)
-		t.grow(now)
+		t.recordEvidence(now)
 	}
-	s.refresh(t, now)
+	s.updateHeaps(t, now)
 }
 
-// Acknowledge confirms work by a full report of its router. It is no evidence
-// of the target's present state.
+// Acknowledge confirms work that a full report of its instance lists as confirmed.
+// It is not evidence that the target is warm now.
 func (s *Set) Acknowledge(w *Work, now time.Duration) {
 	if t := w.target; t != nil {
 		t.confirm(w)
-		s.refresh(t, now)
+		s.updateHeaps(t, now)
 	}
 }
 
@@ -231,86 +244,89 @@
 	}
 }
 
-// End handles the end of work and frees its slot. The warmth of the head is not
-// a new sign if Confirm has reported it before.
+// End handles the outcome of work and frees its slot. It ignores the warmth in the
+// outcome if Confirm has handled the response header before.
 func (s *Set) End(w *Work, o api.Outcome, now time.Duration) {
 	t := w.target
 	if t == nil {
 		return
 	}
-	old := o.Boot != 0 && o.Boot < t.boot
-	if !w.seen {
-		w.cold = o.Warmth == api.WarmthCold
+	previousBoot := o.Boot != 0 && o.Boot < t.boot
+	if !w.headerReceived {
+		w.headerCold = o.Warmth == api.WarmthCold
 		t.observe(o.Warmth, o.Boot, now)
 	} else {
 		t.observe(api.WarmthUnknown, o.Boot, now)
 	}
 	switch {
-	case old:
+	case previousBoot:
 	case o.Result == api.ResultFailed:
-		t.fail(now, "failed")
-	case o.Result == api.ResultOK && !w.cold:
-		t.grow(now)
+		t.recordFailure(now, "failed")
+	case o.Result == api.ResultOK && !w.headerCold:
+		t.recordEvidence(now)
 	}
 	s.unlink(w, now)
-	s.refresh(t, now)
+	s.updateHeaps(t, now)
 }
 
-// Discard forgets work that was never started.
+// Discard removes work without an outcome: it was not started, or its outcome was
+// lost.
 func (s *Set) Discard(w *Work, now time.Duration) {
 	if t := w.target; t != nil {
 		s.unlink(w, now)
-		s.refresh(t, now)
+		s.updateHeaps(t, now)
 	}
 }
 
-// Orphan marks work whose router is dead. It counts until a report of the
-// target clears it or the request limit has passed.
+// Orphan marks work whose instance is unreachable or has restarted. The work counts
+// until a load report of the target shows that it has ended, or until the
+// RequestLimit has passed since its start.
 func (s *Set) Orphan(w *Work, now time.Duration) {
 	t := w.target
 	if t == nil || w.orphan {
 		return
 	}
-	w.orphan, w.orphaned = true, now
+	w.orphan, w.orphanedAt = true, now
 	t.orphans++
-	t.live.set(t.live.value, now, t.ReportLag)
-	t.live.shift(-1)
+	t.liveHistory.set(t.liveHistory.value, now, t.ReportLag)
+	t.liveHistory.shift(-1)
 }
 
-// Restore takes back the mark of Orphan: the router has reported the work.
+// Restore reverses Orphan after the instance has reported the work again.
 func (s *Set) Restore(w *Work, now time.Duration) {
 	if t := w.target; t != nil && w.orphan {
 		w.orphan = false
 		t.orphans--
-		t.live.set(t.live.value, now, t.ReportLag)
-		t.live.shift(1)
+		t.liveHistory.set(t.liveHistory.value, now, t.ReportLag)
+		t.liveHistory.shift(1)
 	}
 }
 
-// Tick handles the passing of time. It costs one step for each target.
+// Tick handles the expiry of evidence, back-offs, gates and orphans. It visits every
+// target.
 func (s *Set) Tick(now time.Duration) {
-	gone := false
-	for _, t := range s.all {
-		if t.warm && now-t.evidence > t.EvidenceLife {
-			t.chill(now, "expired")
+	removable := false
+	for _, t := range s.targets {
+		if t.warm && now-t.lastEvidence > t.EvidenceLife {
+			t.markCold(now, "expired")
 		}
-		if t.gated && now >= t.gateEnd {
-			t.gated = false
+		if t.awaitingReport && now >= t.gateUntil {
+			t.awaitingReport = false
 		}
 		if t.orphans > 0 {
-			s.expire(t, now)
+			s.expireOrphans(t, now)
 		}
-		s.refresh(t, now)
-		gone = gone || (t.removed && t.used == 0)
+		s.updateHeaps(t, now)
+		removable = removable || (t.removed && t.tracked == 0)
 	}
-	if gone {
+	if removable {
 		s.refreshAll(now)
 	}
 }
 
-// expire drops orphans that have outlived the request limit.
-func (s *Set) expire(t *Target, now time.Duration) {
-	for w := t.works; w != nil; {
+// expireOrphans removes orphans that started more than the RequestLimit ago.
+func (s *Set) expireOrphans(t *Target, now time.Duration) {
+	for w := t.newestWork; w != nil; {
 		next := w.next
 		if w.orphan && now-w.started > t.RequestLimit {
 			s.unlink(w, now)
--- a/internal/limits/target.go
+++ b/internal/limits/target.go
@@ -7,84 +7,89 @@
 	"nutmegrouter/internal/api"
 )
 
-// Config describes one target.
+// Config is the configuration of one target.
 type Config struct {
 	Name       string
 	DataCentre string
-	// WarmCapacity and ColdCapacity are concurrent requests.
+	// WarmCapacity and ColdCapacity are the largest numbers of concurrent requests
+	// while the target is warm and cold. ColdCapacity also limits unconfirmed
+	// requests.
 	WarmCapacity int
 	ColdCapacity int
-	// EvidenceLife is how long evidence of warmth lasts.
+	// EvidenceLife is how long a target counts as warm after the newest evidence.
 	EvidenceLife time.Duration
-	// ReportLag is the largest lag of a load report.
+	// ReportLag is the largest age of the state that a load report describes.
 	ReportLag time.Duration
-	// RequestLimit bounds how long work of a dead router counts.
+	// RequestLimit is how long orphaned work counts at most, from its start.
 	RequestLimit time.Duration
 }
 
 const (
-	// firstPause is the pause of a target after a failure. Without it a dead
-	// target, which always looks free, would draw in all waiting requests.
-	firstPause = 100 * time.Millisecond
-	// maxPause bounds the pause, which doubles with each failure in a row.
-	maxPause = 2 * time.Second
-	// steadyChange is the largest change of a mean count between two windows that
-	// counts as steady.
-	steadyChange = 0.5
+	// initialBackoff is how long a target gets no new work after a failure. Without
+	// it a failed target, which always looks free, would attract all waiting requests.
+	initialBackoff = 100 * time.Millisecond
+	// maxBackoff bounds the back-off, which doubles with each consecutive failure.
+	maxBackoff = 2 * time.Second
+	// maxSteadyChange is the largest difference between the mean counts of two
+	// successive windows at which the count is considered steady.
+	maxSteadyChange = 0.5
 )
 
-// Work is one request on a target.
+// Work is one request that was granted on a target. It belongs to one Set.
 type Work struct {
-	target    *Target
-	started   time.Duration
-	confirmed bool
-	seen      bool // the head of the response was seen
-	cold      bool // the head said cold
-	orphan    bool
-	orphaned  time.Duration // when the work's router was declared dead
-	prev      *Work
-	next      *Work
-}
-
-// Target returns the target that carries the work; nil if none.
+	target         *Target
+	started        time.Duration
+	confirmed      bool
+	headerReceived bool // Confirm has handled the response header
+	headerCold     bool // the response header said that the target is cold
+	orphan         bool
+	orphanedAt     time.Duration // when Orphan was called
+	prev           *Work
+	next           *Work
+}
+
+// Target returns the target of the work, or nil if the work is not on a target.
 func (w *Work) Target() *Target { return w.target }
 
-// Started returns when the work was started.
+// Started returns the time passed to Begin or Adopt as the start of the work.
 func (w *Work) Started() time.Duration { return w.started }
 
-// Confirmed reports whether the target has confirmed the work.
+// Confirmed reports whether the work is confirmed: evidence or a full report of its
+// instance has shown that the target was warm after the start of the work, and the
+// target has not restarted since.
 func (w *Work) Confirmed() bool { return w.confirmed }
 
-// Target is the state of one target.
+// Target is the state of one target. Its Set updates it.
 type Target struct {
 	Config
 	set *Set
 
 	limit       int
-	used        int     // work known to the scheduler, orphans included
-	unconfirmed int     // part of used without confirmation
-	orphans     int     // part of used whose router is dead
-	foreign     int     // work in the reports that nobody here knows of
-	excess      int     // bound on foreign work and orphans by the last report
-	works       *Work   // all known work, newest first
-	live        history // used less orphans over the last report lag
-
-	boot     uint64
-	bootAt   time.Duration
-	warm     bool          // evidence is younger than its lifetime
-	evidence time.Duration // time of the newest evidence
-	failures int
-	paused   time.Duration // nothing new before this time
-	gated    bool          // nothing new before a report or the gate's end
-	gateEnd  time.Duration
-	leaving  bool
-	out      bool
-	removed  bool
-
-	pos [2]int // index in the heaps of all targets and of the data centre
-}
-
-// Limit returns the current limit on concurrent requests.
+	tracked     int          // work on the list newestWork, orphans included
+	unconfirmed int          // part of tracked without confirmation
+	orphans     int          // part of tracked whose instance is unreachable
+	untracked   int          // reported work that is not in tracked
+	lastExcess  int          // bound on untracked work and orphans by the last report
+	newestWork  *Work        // head of the list of tracked work, last added first
+	liveHistory countHistory // tracked minus orphans over the last ReportLag
+
+	boot           uint64        // newest boot number; 0 = unknown
+	bootAt         time.Duration // when boot was first seen
+	warm           bool          // the newest evidence is at most EvidenceLife old
+	lastEvidence   time.Duration // time of the newest evidence that the target is warm
+	failures       int           // consecutive failures
+	backoffUntil   time.Duration // no new work before this time
+	awaitingReport bool          // no new work before a poll or gateUntil
+	gateUntil      time.Duration
+	leaving        bool
+	out            bool
+	removed        bool
+
+	heapIndex [2]int // index in the heaps heapOfAll and heapOfDataCentre; -1 = not in the heap
+}
+
+// Limit returns the current limit on concurrent requests. It is 0 while the target is
+// leaving, out of service or removed.
 func (t *Target) Limit() int {
 	if t.leaving || t.out || t.removed {
 		return 0
@@ -92,89 +97,95 @@
 	return t.limit
 }
 
-// Used returns the work that counts against the limit.
-func (t *Target) Used() int { return t.used + t.foreign }
+// Used returns the number of requests that count against the limit, including
+// orphaned and untracked ones.
+func (t *Target) Used() int { return t.tracked + t.untracked }
 
-// Unconfirmed returns the work that was started without confirmation.
+// Unconfirmed returns the number of tracked requests that are not confirmed.
 func (t *Target) Unconfirmed() int { return t.unconfirmed }
 
-// Orphans returns the work left behind by dead routers.
+// Orphans returns the number of tracked requests whose instances are unreachable or
+// have restarted.
 func (t *Target) Orphans() int { return t.orphans }
 
-// Warm reports whether the target has given recent evidence of warmth.
+// Warm reports whether there is evidence within the EvidenceLife that the target is
+// warm.
 func (t *Target) Warm() bool { return t.warm }
 
-// room reports whether one more request may start.
-func (t *Target) room(now time.Duration) bool {
-	return !t.leaving && !t.out && !t.removed && !t.gated && t.paused <= now &&
-		t.used+t.foreign < t.limit && t.unconfirmed < t.ColdCapacity
+// hasCapacity reports whether one more request may start.
+func (t *Target) hasCapacity(now time.Duration) bool {
+	return !t.leaving && !t.out && !t.removed && !t.awaitingReport && t.backoffUntil <= now &&
+		t.tracked+t.untracked < t.limit && t.unconfirmed < t.ColdCapacity
 }
 
-// free is the share of the limit that is free. It orders targets.
-func (t *Target) free() float64 {
-	return float64(t.limit-t.used-t.foreign) / float64(t.limit)
+// freeShare returns the part of the limit that is free, at most 1.
+func (t *Target) freeShare() float64 {
+	return float64(t.limit-t.tracked-t.untracked) / float64(t.limit)
 }
 
-// grow handles evidence of warmth.
-func (t *Target) grow(now time.Duration) {
-	t.evidence = now
-	t.failures, t.paused = 0, 0
+// recordEvidence handles evidence that the target is warm: it raises the limit by one
+// and ends a back-off.
+func (t *Target) recordEvidence(now time.Duration) {
+	t.lastEvidence = now
+	t.failures, t.backoffUntil = 0, 0
 	if !t.warm {
 		t.warm = true
-		t.set.changed(t, now, "warm")
+		t.set.recordChange(t, now, "warm")
 	}
 	if t.limit < t.WarmCapacity {
 		t.limit++
 	}
 }
 
-// chill handles a sign of cold.
-func (t *Target) chill(now time.Duration, why string) {
+// markCold handles a sign that the target is cold. The reason is the What of a Change.
+func (t *Target) markCold(now time.Duration, reason string) {
 	if t.warm {
 		t.warm = false
-		t.set.changed(t, now, why)
+		t.set.recordChange(t, now, reason)
 	}
 	t.limit = min(t.ColdCapacity, t.limit)
 }
 
-// fail handles a failure of the target: cold, and paused for a while.
-func (t *Target) fail(now time.Duration, why string) {
-	t.chill(now, why)
-	if t.paused > now {
+// recordFailure marks the target cold and starts a back-off. Failures during a
+// back-off do not extend it.
+func (t *Target) recordFailure(now time.Duration, reason string) {
+	t.markCold(now, reason)
+	if t.backoffUntil > now {
 		return
 	}
 	t.failures++
-	pause := maxPause
+	backoff := maxBackoff
 	if t.failures < 6 {
-		pause = min(maxPause, firstPause<<(t.failures-1))
+		backoff = min(maxBackoff, initialBackoff<<(t.failures-1))
 	}
-	t.paused = now + pause
+	t.backoffUntil = now + backoff
 }
 
-// observe handles what the target said about itself. It reports whether that
-// is evidence of warmth from the boot that is known to be the newest.
+// observe handles the warmth and boot number in a response or load report. It reports
+// whether they are evidence that the target is warm since its newest known boot.
 func (t *Target) observe(w api.Warmth, boot uint64, now time.Duration) bool {
 	if boot != 0 && boot < t.boot {
-		return false // an answer from before the restart proves nothing
+		return false // sent before the restart
 	}
 	if boot > t.boot {
-		t.restart(boot, now)
+		t.recordBoot(boot, now)
 	}
 	if w == api.WarmthCold {
-		t.chill(now, "cold")
+		t.markCold(now, "cold")
 	}
 	return w == api.WarmthWarm
 }
 
-// restart handles a new boot number: confirmations of the former boot are void.
-func (t *Target) restart(boot uint64, now time.Duration) {
+// recordBoot handles a new boot number. It marks the target cold and its work
+// unconfirmed, unless the previous boot number is unknown.
+func (t *Target) recordBoot(boot uint64, now time.Duration) {
 	known := t.boot != 0
 	t.boot, t.bootAt = boot, now
 	if !known {
 		return
 	}
-	t.chill(now, "boot")
-	for w := t.works; w != nil; w = w.next {
+	t.markCold(now, "boot")
+	for w := t.newestWork; w != nil; w = w.next {
 		if w.confirmed {
 			w.confirmed = false
 			t.unconfirmed++
@@ -182,60 +193,64 @@
 	}
 }
 
-// history keeps the smallest, largest and mean value of a count over at least the
-// last window and at most two windows.
-type history struct {
-	value, low, high  int
-	lastLow, lastHigh int
-	from, at          time.Duration // start of this window, time of the last change
-	sum, lastSum      float64       // value times seconds
-	lastSpan          time.Duration
+// countHistory holds the minimum, maximum and time-weighted mean of a count over at
+// least the last window and at most the last two.
+type countHistory struct {
+	value, low, high       int
+	prevLow, prevHigh      int
+	windowStart, updatedAt time.Duration // start of this window, time of the last update
+	sum, prevSum           float64       // integral of the value over time, in seconds
+	prevSpan               time.Duration
 }
 
-func (h *history) set(v int, now, window time.Duration) {
-	h.sum += float64(h.value) * (now - h.at).Seconds()
-	h.at = now
-	if now-h.from >= window {
-		h.turn(now, window)
+// set records that the count changed to v.
+func (h *countHistory) set(v int, now, window time.Duration) {
+	h.sum += float64(h.value) * (now - h.updatedAt).Seconds()
+	h.updatedAt = now
+	if now-h.windowStart >= window {
+		h.rotate(now, window)
 	}
 	h.value = v
 	h.low, h.high = min(h.low, v), max(h.high, v)
 }
 
-// turn starts a new window.
-func (h *history) turn(now, window time.Duration) {
-	h.lastLow, h.lastHigh, h.lastSum, h.lastSpan = h.low, h.high, h.sum, now-h.from
-	if now-h.from >= 2*window { // no change for at least one window
-		h.lastLow, h.lastHigh = h.value, h.value
-		h.lastSum, h.lastSpan = float64(h.value)*window.Seconds(), window
+// rotate starts a new window.
+func (h *countHistory) rotate(now, window time.Duration) {
+	h.prevLow, h.prevHigh, h.prevSum, h.prevSpan = h.low, h.high, h.sum, now-h.windowStart
+	if now-h.windowStart >= 2*window { // no change for at least one window
+		h.prevLow, h.prevHigh = h.value, h.value
+		h.prevSum, h.prevSpan = float64(h.value)*window.Seconds(), window
 	}
-	h.low, h.high, h.from, h.sum = h.value, h.value, now, 0
+	h.low, h.high, h.windowStart, h.sum = h.value, h.value, now, 0
 }
 
-// shift adds work that was there all the time but was counted elsewhere.
-func (h *history) shift(n int) {
+// shift adds n to all values of both windows, for work that ran all the time but was
+// counted elsewhere.
+func (h *countHistory) shift(n int) {
 	h.value += n
 	h.low += n
 	h.high += n
-	h.lastLow += n
-	h.lastHigh += n
-	h.sum += float64(n) * (h.at - h.from).Seconds()
-	h.lastSum += float64(n) * h.lastSpan.Seconds()
+	h.prevLow += n
+	h.prevHigh += n
+	h.sum += float64(n) * (h.updatedAt - h.windowStart).Seconds()
+	h.prevSum += float64(n) * h.prevSpan.Seconds()
 }
 
-func (h *history) bounds() (low, high int) {
-	return max(0, min(h.low, h.lastLow)), max(0, h.high, h.lastHigh)
+// bounds returns the minimum and maximum of both windows, at least 0.
+func (h *countHistory) bounds() (low, high int) {
+	return max(0, min(h.low, h.prevLow)), max(0, h.high, h.prevHigh)
 }
 
-// steady returns the value that the count has most of the time, if it is steady.
-func (h *history) steady() (int, bool) {
-	span := h.at - h.from
-	if h.lastSpan == 0 {
+// steady returns the rounded mean of both windows. It reports false if their means
+// differ by more than maxSteadyChange or there is no complete window yet.
+func (h *countHistory) steady() (int, bool) {
+	span := h.updatedAt - h.windowStart
+	if h.prevSpan == 0 {
 		return 0, false
 	}
-	last := h.lastSum / h.lastSpan.Seconds()
-	if span > 0 && math.Abs(h.sum/span.Seconds()-last) > steadyChange {
+	prevMean := h.prevSum / h.prevSpan.Seconds()
+	if span > 0 && math.Abs(h.sum/span.Seconds()-prevMean) > maxSteadyChange {
 		return 0, false
 	}
-	return int(math.Round((h.sum + h.lastSum) / (span + h.lastSpan).Seconds())), true
+	return int(math.Round((h.sum + h.prevSum) / (span + h.prevSpan).Seconds())), true
 }
--- a/internal/overload/bytes.go
+++ b/internal/overload/bytes.go
@@ -7,56 +7,60 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoMemory reports that a bound on memory is reached.
-var ErrNoMemory = errors.New("the answers under way take all memory for answers")
+// ErrNoMemory reports that the memory limit for responses is reached.
+var ErrNoMemory = errors.New("memory limit for responses reached")
 
-// Bytes bounds memory that requests hold. It is safe for concurrent use.
+// Bytes limits the memory that concurrent requests or responses use together. It is
+// safe for concurrent use.
 type Bytes struct {
-	limit int64
-	held  atomic.Int64
+	limit    int64
+	reserved atomic.Int64
 }
 
-// NewBytes returns a bound in bytes.
+// NewBytes returns a limit of the given number of bytes, all of them free.
 func NewBytes(limit int64) *Bytes { return &Bytes{limit: limit} }
 
-// Take counts memory, in bytes. It reports false, and counts nothing, beyond the bound.
+// Take reserves n bytes. If that would exceed the limit, it reserves nothing and
+// returns false.
 func (b *Bytes) Take(n int) bool {
-	if b.held.Add(int64(n)) <= b.limit {
+	if b.reserved.Add(int64(n)) <= b.limit {
 		return true
 	}
 	b.Free(n)
 	return false
 }
 
-// Free ends what Take has counted.
-func (b *Bytes) Free(n int) { b.held.Add(-int64(n)) }
+// Free releases n bytes that Take has reserved.
+func (b *Bytes) Free(n int) { b.reserved.Add(-int64(n)) }
 
-// Held returns what is counted now, in bytes.
-func (b *Bytes) Held() int64 { return b.held.Load() }
+// Held returns the number of reserved bytes.
+func (b *Bytes) Held() int64 { return b.reserved.Load() }
 
-// Limit returns the bound in bytes.
+// Limit returns the limit in bytes.
 func (b *Bytes) Limit() int64 { return b.limit }
 
-// Buffer holds bytes within a bound. Free must be called once its content is of no use.
+// Buffer is a byte buffer whose capacity is reserved from a Bytes. Free must be called
+// when the content is no longer needed. It is not safe for concurrent use.
 type Buffer struct {
-	bound *Bytes
-	bytes []byte
+	memory  *Bytes
+	content []byte
 }
 
-// leastGrown is the least size of a buffer in bytes.
-const leastGrown = 512
+// minBufferSize is the smallest capacity of a buffer in bytes.
+const minBufferSize = 512
 
-// NewBuffer returns an empty buffer.
-func NewBuffer(b *Bytes) *Buffer { return &Buffer{bound: b} }
+// NewBuffer returns an empty buffer that reserves its memory from b.
+func NewBuffer(b *Bytes) *Buffer { return &Buffer{memory: b} }
 
-// ReadFrom appends all that a source gives. Without memory left it returns ErrNoMemory.
+// ReadFrom appends the data of r until EOF. It returns ErrNoMemory if the memory limit
+// is reached, or the error of r.
 func (b *Buffer) ReadFrom(r io.Reader) (n int64, err error) {
 	for {
-		if len(b.bytes) == cap(b.bytes) && !b.grow() {
+		if len(b.content) == cap(b.content) && !b.grow() {
 			return n, ErrNoMemory
 		}
-		m, err := r.Read(b.bytes[len(b.bytes):cap(b.bytes)])
-		b.bytes = b.bytes[:len(b.bytes)+m]
+		m, err := r.Read(b.content[len(b.content):cap(b.content)])
+		b.content = b.content[:len(b.content)+m]
 		n += int64(m)
 		switch err {
 		case nil:
@@ -68,33 +72,35 @@
 	}
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. If the memory limit is reached, it appends nothing and
+// returns ErrNoMemory.
 func (b *Buffer) Write(p []byte) (int, error) {
-	for cap(b.bytes)-len(b.bytes) < len(p) {
+	for cap(b.content)-len(b.content) < len(p) {
 		if !b.grow() {
 			return 0, ErrNoMemory
 		}
 	}
-	b.bytes = append(b.bytes, p...)
+	b.content = append(b.content, p...)
 	return len(p), nil
 }
 
+// grow doubles the capacity. It reports false if the memory limit is reached.
 func (b *Buffer) grow() bool {
-	size := max(leastGrown, 2*cap(b.bytes))
-	if !b.bound.Take(size - cap(b.bytes)) {
+	size := max(minBufferSize, 2*cap(b.content))
+	if !b.memory.Take(size - cap(b.content)) {
 		return false
 	}
-	grown := make([]byte, len(b.bytes), size)
-	copy(grown, b.bytes)
-	b.bytes = grown
+	larger := make([]byte, len(b.content), size)
+	copy(larger, b.content)
+	b.content = larger
 	return true
 }
 
-// Bytes returns the content.
-func (b *Buffer) Bytes() []byte { return b.bytes }
+// Bytes returns the content, which is valid until the next call of another method.
+func (b *Buffer) Bytes() []byte { return b.content }
 
-// Free drops the content.
+// Free discards the content and releases its memory.
 func (b *Buffer) Free() {
-	b.bound.Free(cap(b.bytes))
-	b.bytes = nil
+	b.memory.Free(cap(b.content))
+	b.content = nil
 }
--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -1,12 +1,12 @@
-// Package overload bounds the requests that an instance accepts by the processor
-// time it has. It answers for the load of callers that the platform's balancer sends
-// to one instance beyond what that instance can carry: the balancer chooses by a hash
-// of the client, so one client may send 1,000 requests a second to one instance of
-// many. A caller that is refused at once reaches another instance with its retry; one
-// whose request waits for processor time reaches nobody.
+// Package overload implements load shedding for an instance: it limits the rate of
+// accepted requests to the available processor time, and the memory of requests and
+// responses. The platform's load balancer chooses an instance by a hash of the client, so
+// one client may send 1,000 requests a second to a single instance. A caller whose
+// request is shed at once reaches another instance with its retry; a request that waits
+// for processor time reaches none.
 //
-// The gate is pure: the caller tells the time and how late its ticks came. Bytes bounds
-// what requests hold in memory.
+// Gate reads no clock: the caller passes the time between ticks. Its delay beyond Period
+// is the measure of the processor load.
 package overload
 
 import (
@@ -16,153 +16,160 @@
 )
 
 const (
-	// Period separates the ticks.
+	// Period is the intended time between two calls of Gate.Tick.
 	Period = 100 * time.Millisecond
-	// lateLimit is the mean lateness of ticks above which the processor is
-	// overloaded. Instances with processor time left tick 0 to 15 ms late. A request
-	// waits for the processor several times, and so does each of its events.
-	lateLimit = 20 * time.Millisecond
-	// lateWeight is the share of the newest tick in the mean: a single late tick, as
-	// a burst of connections causes it, bounds nothing.
-	lateWeight = 0.3
-	// lateMost bounds the effect of one tick on the mean.
-	lateMost = 150 * time.Millisecond
-	// frozenFor is a lateness that no load causes: the process stood still.
-	frozenFor = time.Second
-	// cut is the part of the accepted rate that is kept at each overloaded tick.
-	cut = 0.85
-	// growth is the part, and leastGrowth the number, of requests a second by which
-	// the bound grows at each other tick.
-	growth      = 0.04
-	leastGrowth = 2.0
-	// leastRate keeps a bounded instance at work, in requests a second.
-	leastRate = 10.0
-	// freeAfter is the number of ticks without a refusal after which the bound ends.
-	freeAfter = 20
-	// shedTicks is the number of ticks without a refusal after which an instance takes
-	// new callers again. The balancer asks once a second.
-	shedTicks = 10
-	// ramp bounds the requests of a period by a multiple of those in the period before
-	// also where the processor is not late yet: one second of a flood of 2,000 requests
-	// leaves 5 s of work on an instance with 0.2 of a core before a tick shows it.
-	ramp = 1.15
-	// burstKept is the part of a period's bound that holds in the next one, so that a
-	// pause in the load does not begin the ramp anew.
-	burstKept = 0.9
-	// leastBurst is accepted in every period while the rate is not bounded.
-	leastBurst = 30
+	// maxMeanDelay is the mean tick delay above which the processor is overloaded.
+	// Ticks of instances with free processor time are delayed by 0 to 15 ms. A
+	// request waits for the processor several times, and so does each of its events.
+	maxMeanDelay = 20 * time.Millisecond
+	// delayWeight is the weight of the newest tick in the moving average. It is low
+	// enough that a single delayed tick, such as a burst of connections causes, does
+	// not limit the rate.
+	delayWeight = 0.3
+	// maxDelaySample limits the effect of one tick on the moving average.
+	maxDelaySample = 150 * time.Millisecond
+	// minSuspension is the tick delay above which the process was suspended: load
+	// does not cause such a delay.
+	minSuspension = time.Second
+	// rateDecrease is the factor by which the rate limit, or the accepted rate if that
+	// is lower, is multiplied at each overloaded tick.
+	rateDecrease = 0.85
+	// At each other tick with shed requests, the rate limit grows by the fraction
+	// rateIncrease of itself, and at least by minRateIncrease requests a second.
+	rateIncrease    = 0.04
+	minRateIncrease = 2.0
+	// minRate is the lowest rate limit, in requests a second.
+	minRate = 10.0
+	// unboundAfterTicks is the number of consecutive ticks without shed requests
+	// after which the rate limit is removed.
+	unboundAfterTicks = 20
+	// readyAfterTicks is the number of consecutive ticks without shed requests after
+	// which an instance is ready for new callers. The load balancer checks readiness
+	// once a second.
+	readyAfterTicks = 10
+	// maxRamp limits the accepted requests of a period to this multiple of those in
+	// the previous period, even before a tick is delayed: an instance with 0.2 of a
+	// core can accept 5 s of work in one second at 2,000 requests a second before the
+	// first delayed tick.
+	maxRamp = 1.15
+	// burstDecay is the factor by which the burst limit decreases per period at most,
+	// so that a gap in the load does not reset it.
+	burstDecay = 0.9
+	// minBurst is the lowest burst limit: the number of requests that are accepted in
+	// every period while the rate is not limited.
+	minBurst = 30
 )
 
-// Gate decides which requests an instance accepts. While its rate is bounded, the
-// workspaces share it max-min fairly: the one that sends most is refused first. It is
-// not safe for concurrent use.
+// Gate decides which requests an instance accepts and which it sheds. While the rate is
+// limited, each workspace gets its max-min fair share, so the workspace that sends most
+// is shed first. It is not safe for concurrent use.
 type Gate struct {
-	rate    float64 // requests a second; +Inf = no bound
-	late    time.Duration
-	quiet   int // ticks without a refusal
-	level   float64
-	wanted  map[string]int // requests of each workspace in this period
-	taken   int            // requests accepted in this period
-	burst   int            // requests of this period above which the level holds
-	over    bool           // the burst is used up, and the level follows from it
-	refused int
-	shedAt  int // ticks since a period with refusals
+	rateLimit        float64        // requests a second; +Inf = no limit
+	meanDelay        time.Duration  // moving average of the tick delay
+	ticksWithoutShed int            // consecutive ticks without shed requests while the rate is limited
+	workspaceLimit   float64        // requests accepted per workspace in this period
+	demand           map[string]int // requests received per workspace in this period
+	accepted         int            // requests accepted in this period
+	burstLimit       int            // accepted requests above which workspaceLimit is lowered to fair shares of it
+	burstReached     bool           // workspaceLimit has been lowered in this period
+	shed             int            // requests shed in this period
+	ticksSinceShed   int            // ticks since the last period with shed requests
 }
 
-// New returns a gate without a bound.
+// New returns a gate without a rate limit.
 func New() *Gate {
-	return &Gate{rate: math.Inf(1), level: math.Inf(1), wanted: map[string]int{}, burst: leastBurst, shedAt: shedTicks}
+	return &Gate{rateLimit: math.Inf(1), workspaceLimit: math.Inf(1), demand: map[string]int{}, burstLimit: minBurst, ticksSinceShed: readyAfterTicks}
 }
 
-// Rate returns the bound in requests a second; +Inf = none.
-func (g *Gate) Rate() float64 { return g.rate }
+// Rate returns the rate limit in requests a second, +Inf if there is none.
+func (g *Gate) Rate() float64 { return g.rateLimit }
 
-// Bounded reports whether the rate is bounded.
-func (g *Gate) Bounded() bool { return !math.IsInf(g.rate, 1) }
+// Bounded reports whether the rate is limited.
+func (g *Gate) Bounded() bool { return !math.IsInf(g.rateLimit, 1) }
 
-// Shedding reports whether requests were refused a moment ago: further callers are
-// better off at another instance.
-func (g *Gate) Shedding() bool { return g.shedAt < shedTicks }
+// Shedding reports whether requests were shed in one of the last periods, so that the
+// load balancer should send new callers to another instance.
+func (g *Gate) Shedding() bool { return g.ticksSinceShed < readyAfterTicks }
 
-// Late returns the mean lateness of the ticks.
-func (g *Gate) Late() time.Duration { return g.late }
+// Late returns the moving average of the tick delay.
+func (g *Gate) Late() time.Duration { return g.meanDelay }
 
-// Allow reports whether a request of a workspace is accepted.
+// Allow counts a request of a workspace and reports whether it is accepted or shed.
 func (g *Gate) Allow(workspace string) bool {
-	n := g.wanted[workspace]
-	g.wanted[workspace] = n + 1
-	if g.taken >= g.burst && !g.over {
-		g.over = true
-		g.level = min(g.level, fill(g.wanted, float64(g.burst)))
+	n := g.demand[workspace]
+	g.demand[workspace] = n + 1
+	if g.accepted >= g.burstLimit && !g.burstReached {
+		g.burstReached = true
+		g.workspaceLimit = min(g.workspaceLimit, fairLimit(g.demand, float64(g.burstLimit)))
 	}
-	if float64(n) >= g.level {
-		g.refused++
+	if float64(n) >= g.workspaceLimit {
+		g.shed++
 		return false
 	}
-	g.taken++
+	g.accepted++
 	return true
 }
 
-// Tick ends a period that took a time, which is later than Period by what the tick
-// waited for the processor.
-func (g *Gate) Tick(took time.Duration) {
-	late := max(0, took-Period)
-	if late > frozenFor {
-		g.next(Period)
+// Tick ends a period and adjusts the rate limit. elapsed is the time since the previous
+// tick; the part above Period is how long the tick waited for the processor.
+func (g *Gate) Tick(elapsed time.Duration) {
+	delay := max(0, elapsed-Period)
+	if delay > minSuspension {
+		g.startPeriod(Period)
 		return
 	}
-	g.late += time.Duration(lateWeight * float64(min(late, lateMost)-g.late))
-	accepted := float64(g.taken) / took.Seconds()
+	g.meanDelay += time.Duration(delayWeight * float64(min(delay, maxDelaySample)-g.meanDelay))
+	acceptedRate := float64(g.accepted) / elapsed.Seconds()
 	switch {
-	case g.late > lateLimit && late > lateLimit/2:
-		g.rate = max(leastRate, cut*min(g.rate, max(accepted, leastRate)))
-		g.quiet = 0
+	case g.meanDelay > maxMeanDelay && delay > maxMeanDelay/2:
+		g.rateLimit = max(minRate, rateDecrease*min(g.rateLimit, max(acceptedRate, minRate)))
+		g.ticksWithoutShed = 0
 	case !g.Bounded():
-	case g.refused == 0:
-		if g.quiet++; g.quiet >= freeAfter {
-			g.rate = math.Inf(1)
+	case g.shed == 0:
+		if g.ticksWithoutShed++; g.ticksWithoutShed >= unboundAfterTicks {
+			g.rateLimit = math.Inf(1)
 		}
 	default:
-		g.quiet = 0
-		g.rate += max(leastGrowth, growth*g.rate)
+		g.ticksWithoutShed = 0
+		g.rateLimit += max(minRateIncrease, rateIncrease*g.rateLimit)
 	}
-	g.next(took)
+	g.startPeriod(elapsed)
 }
 
-// next begins a period. The level is what each workspace may send, so that all
-// together reach the rate if they send as much as in the period before.
-func (g *Gate) next(took time.Duration) {
-	g.burst = max(leastBurst, int(ramp*float64(g.taken)), int(burstKept*float64(g.burst)))
-	g.over = false
-	if g.shedAt++; g.refused > 0 {
-		g.shedAt = 0
+// startPeriod starts a period. It sets workspaceLimit so that the accepted requests
+// reach the rate limit if the demand equals that of the previous period.
+func (g *Gate) startPeriod(elapsed time.Duration) {
+	g.burstLimit = max(minBurst, int(maxRamp*float64(g.accepted)), int(burstDecay*float64(g.burstLimit)))
+	g.burstReached = false
+	if g.ticksSinceShed++; g.shed > 0 {
+		g.ticksSinceShed = 0
 	}
-	g.level = fill(g.wanted, g.rate*took.Seconds())
-	clear(g.wanted)
-	g.taken, g.refused = 0, 0
+	g.workspaceLimit = fairLimit(g.demand, g.rateLimit*elapsed.Seconds())
+	clear(g.demand)
+	g.accepted, g.shed = 0, 0
 }
 
-// fill returns the level at which the demands, each cut to the level, sum up to an
-// amount. If they do not reach it, one workspace may take what is left beside the
-// largest demand.
-func fill(wanted map[string]int, amount float64) float64 {
-	demands := make([]int, 0, len(wanted))
-	for _, n := range wanted {
+// fairLimit returns the limit per workspace at which the demands, each capped at the
+// limit, sum up to amount: the max-min fair share. If the demands sum up to less, it
+// returns the largest demand plus the unused amount.
+func fairLimit(demand map[string]int, amount float64) float64 {
+	demands := make([]int, 0, len(demand))
+	for _, n := range demand {
 		demands = append(demands, n)
 	}
 	slices.Sort(demands)
 	for i, n := range demands {
-		left := len(demands) - i
-		if float64(n*left) >= amount {
-			return amount / float64(left)
+		remaining := len(demands) - i
+		if float64(n*remaining) >= amount {
+			return amount / float64(remaining)
 		}
 		amount -= float64(n)
 	}
-	return max(amount, 0) + maxDemand(demands)
+	return max(amount, 0) + largestDemand(demands)
 }
 
-// maxDemand is a level's part for workspaces that sent nothing so far.
-func maxDemand(demands []int) float64 {
+// largestDemand returns the last of the sorted demands, or 0 if there are none.
+func largestDemand(demands []int) float64 {
 	if len(demands) == 0 {
 		return 0
 	}
--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -8,60 +8,62 @@
 	"github.com/matryer/is"
 )
 
-// processor is an instance that serves accepted and refuses other requests, each at a
-// cost, and ticks later the more work waits.
-type processor struct {
-	gate          *Gate
-	serve, refuse time.Duration
-	share         float64 // of a core
-	backlog       time.Duration
-	longest       time.Duration // backlog
-	served        map[string]int
+// simulatedInstance is an instance that spends processor time on served and on shed
+// requests. Its ticks are delayed in proportion to its backlog.
+type simulatedInstance struct {
+	gate                *Gate
+	serveTime, shedTime time.Duration
+	coreShare           float64 // fraction of a core
+	backlog             time.Duration
+	maxBacklog          time.Duration // processor time
+	served              map[string]int
 }
 
-// run plays periods with requests a second of each workspace.
-func (p *processor) run(periods int, rates map[string]float64) {
+// run simulates a number of periods. rates is the load per workspace, in requests a
+// second.
+func (p *simulatedInstance) run(periods int, rates map[string]float64) {
 	for range periods {
-		took := Period + time.Duration(float64(p.backlog)/p.share)
+		elapsed := Period + time.Duration(float64(p.backlog)/p.coreShare)
 		work := time.Duration(0)
 		for w, rate := range rates {
-			for range int(rate * took.Seconds()) {
+			for range int(rate * elapsed.Seconds()) {
 				if p.gate.Allow(w) {
 					p.served[w]++
-					work += p.serve
+					work += p.serveTime
 				} else {
-					work += p.refuse
+					work += p.shedTime
 				}
 			}
 		}
-		p.backlog = max(0, p.backlog+work-time.Duration(p.share*float64(took)))
-		p.longest = max(p.longest, p.backlog)
-		p.gate.Tick(took)
+		p.backlog = max(0, p.backlog+work-time.Duration(p.coreShare*float64(elapsed)))
+		p.maxBacklog = max(p.maxBacklog, p.backlog)
+		p.gate.Tick(elapsed)
 	}
 }
 
-func newProcessor() *processor {
-	return &processor{gate: New(), serve: 650 * time.Microsecond, refuse: 80 * time.Microsecond, share: 0.19, served: map[string]int{}}
+func newSimulatedInstance() *simulatedInstance {
+	return &simulatedInstance{gate: New(), serveTime: 650 * time.Microsecond, shedTime: 80 * time.Microsecond, coreShare: 0.19, served: map[string]int{}}
 }
 
-// Guards against an instance that accepts more than it can carry, so that every
-// request waits and none is answered in time.
+// Guards against an instance that accepts more requests than it can serve, so that all
+// of them wait and miss their deadlines.
 func TestBoundsOverload(t *testing.T) {
 	is := is.New(t)
-	p := newProcessor()
+	p := newSimulatedInstance()
 	p.run(100, map[string]float64{"large": 900, "small": 20})
 	clear(p.served)
 	p.run(100, map[string]float64{"large": 900, "small": 20})
 	is.True(p.gate.Late() < 100*time.Millisecond)
-	is.True(p.served["large"] > 10*100) // 100/s of the 190/s that fit beside the refusals
-	is.True(p.served["small"] > 150)    // of 200
+	is.True(p.served["large"] > 10*100) // 100/s of the 190/s for which there is time besides shedding
+	is.True(p.served["small"] > 150)    // of 200 sent
 	is.True(p.backlog < 40*time.Millisecond)
 }
 
-// Guards against a bound where there is processor time left, or after the load has gone.
+// Guards against a rate limit while there is free processor time, and one that remains
+// after the load has ended.
 func TestNoBoundWithoutOverload(t *testing.T) {
 	is := is.New(t)
-	p := newProcessor()
+	p := newSimulatedInstance()
 	p.run(50, map[string]float64{"w": 250})
 	is.True(math.IsInf(p.gate.Rate(), 1))
 	is.Equal(p.served["w"], 50*25)
@@ -71,23 +73,23 @@
 	is.True(math.IsInf(p.gate.Rate(), 1))
 }
 
-// Guards against an instance that attracts new callers while it refuses those it has,
-// and against one that sends them away for good.
+// Guards against an instance that stays ready for new callers while it sheds requests,
+// and against one that never becomes ready again.
 func TestShedding(t *testing.T) {
 	is := is.New(t)
-	p := newProcessor()
+	p := newSimulatedInstance()
 	p.run(50, map[string]float64{"w": 150})
 	is.True(!p.gate.Shedding())
 	p.run(10, map[string]float64{"w": 2000})
 	is.True(p.gate.Shedding())
-	p.run(shedTicks/2, map[string]float64{"w": 20})
+	p.run(readyAfterTicks/2, map[string]float64{"w": 20})
 	is.True(p.gate.Shedding())
-	p.run(shedTicks, map[string]float64{"w": 20})
+	p.run(readyAfterTicks, map[string]float64{"w": 20})
 	is.True(!p.gate.Shedding())
 }
 
-// Guards against a process that was frozen and refuses its callers afterwards.
-func TestFrozen(t *testing.T) {
+// Guards against a process that sheds requests after it was suspended.
+func TestSuspendedProcess(t *testing.T) {
 	is := is.New(t)
 	g := New()
 	g.Tick(10 * time.Second)
@@ -95,39 +97,40 @@
 	is.True(g.Allow("w"))
 }
 
-// Guards against a level that lets one workspace take what another one needs.
-func TestFill(t *testing.T) {
+// Guards against a limit that lets one workspace use the fair share of another.
+func TestFairLimit(t *testing.T) {
 	is := is.New(t)
-	is.Equal(fill(map[string]int{"a": 100, "b": 2}, 20), 18.0)
-	is.Equal(fill(map[string]int{"a": 10, "b": 10}, 8), 4.0)
-	is.Equal(fill(map[string]int{"a": 3, "b": 4}, 10), 7.0) // 3 are left beside the largest demand
-	is.Equal(fill(nil, 5), 5.0)
-	is.True(math.IsInf(fill(map[string]int{"a": 3}, math.Inf(1)), 1))
+	is.Equal(fairLimit(map[string]int{"a": 100, "b": 2}, 20), 18.0)
+	is.Equal(fairLimit(map[string]int{"a": 10, "b": 10}, 8), 4.0)
+	is.Equal(fairLimit(map[string]int{"a": 3, "b": 4}, 10), 7.0) // 3 are unused: added to the largest demand
+	is.Equal(fairLimit(nil, 5), 5.0)
+	is.True(math.IsInf(fairLimit(map[string]int{"a": 3}, math.Inf(1)), 1))
 }
 
-// Guards against a flood that leaves seconds of work behind before the first late tick
-// shows it: the requests accepted then wait until their callers have given up.
-func TestSuddenFlood(t *testing.T) {
+// Guards against a sudden overload that adds seconds of work before the first delayed
+// tick: the accepted requests would wait until their callers have disconnected.
+func TestSuddenOverload(t *testing.T) {
 	is := is.New(t)
-	p := newProcessor()
+	p := newSimulatedInstance()
 	p.run(50, map[string]float64{"large": 50, "small": 20})
 	p.run(30, map[string]float64{"large": 1500, "small": 20})
-	is.True(time.Duration(float64(p.longest)/p.share) < 500*time.Millisecond)
-	is.True(p.served["small"] >= 120) // of 160
+	is.True(time.Duration(float64(p.maxBacklog)/p.coreShare) < 500*time.Millisecond)
+	is.True(p.served["small"] >= 120) // of 160 sent
 }
 
-// Guards against a ramp that holds back an instance with enough processor time.
+// Guards against a burst limit that sheds requests of an instance with free processor
+// time.
 func TestRampFollowsLoad(t *testing.T) {
 	is := is.New(t)
-	p := newProcessor()
-	p.share = 1
+	p := newSimulatedInstance()
+	p.coreShare = 1
 	p.run(10, map[string]float64{"w": 1000})
 	clear(p.served)
 	p.run(10, map[string]float64{"w": 1000})
 	is.Equal(p.served["w"], 1000)
 }
 
-// Guards against a refused request whose memory stays counted.
+// Guards against memory that stays reserved after Take has returned false.
 func TestBytes(t *testing.T) {
 	is := is.New(t)
 	b := NewBytes(3)
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,9 +1,9 @@
-// Package retrybudget bounds the repeats of requests at each service. All
-// instances share one bound: in any window, repeats are at most a ratio of the
-// requests and a slack. Each instance keeps to the ratio of its own requests and
-// to its part of the slack, so that the sum holds without coordination.
+// Package retrybudget implements a retry budget for each service. It bounds the retries
+// of all instances together: in any window, there are at most Config.Ratio retries for
+// each request plus Config.Slack. Each instance applies the ratio to its own requests
+// and uses its share of the slack, so that the bound holds without coordination.
 //
-// The package is pure: time is an argument. It answers for any load.
+// The package reads no clock: the caller passes the time.
 package retrybudget
 
 import (
@@ -12,99 +12,105 @@
 )
 
 const (
-	// slots divide a window. A repeat counts until its slot has left the window.
-	slots = 10
-	// ratioUsed is the part of the ratio that is used: requests at the edge of a
-	// window are counted in another one than their repeats.
+	// slotsPerWindow divides a window. A retry counts until its slot has left the
+	// window.
+	slotsPerWindow = 10
+	// ratioUsed is the part of the ratio that the budget grants. The rest allows for
+	// requests at the edge of a window, whose retries are in another window.
 	ratioUsed = 0.85
-	// slackUsed is the part of the slack that all instances use together.
+	// slackUsed is the part of the slack that the budgets of all instances grant
+	// together.
 	slackUsed = 0.6
 )
 
-// Config states the bound.
+// Config is the bound on the retries at one service.
 type Config struct {
-	Ratio  float64 // repeats for each request
-	Slack  float64 // repeats in a window besides, over all instances
+	Ratio  float64 // retries per request
+	Slack  float64 // additional retries per window, of all instances together
 	Window time.Duration
 }
 
-// Budget counts requests and repeats by service. It is safe for concurrent use.
+// Budget counts the requests and retries of this instance by service. It is safe for
+// concurrent use.
 type Budget struct {
 	cfg Config
 
-	mu       sync.Mutex
-	share    float64 // part of the slack that this instance may use
-	services map[string]*window
+	mu         sync.Mutex
+	slackShare float64 // part of the slack that this instance may use, 0 to 1
+	services   map[string]*window
 }
 
-// window holds the newest counts, one slot for each tenth of the window.
+// window is a ring buffer of counts by slot. newestSlot is the index of the newest
+// slot, counted from time 0.
 type window struct {
-	slot     int64
-	requests [slots]int
-	repeats  [slots]int
+	newestSlot int64
+	requests   [slotsPerWindow]int
+	retries    [slotsPerWindow]int
 }
 
-// New returns a budget for an instance that knows of no others.
+// New returns a budget for a single instance. SetInstances changes their number.
 func New(c Config) *Budget {
-	return &Budget{cfg: c, share: 1, services: map[string]*window{}}
+	return &Budget{cfg: c, slackShare: 1, services: map[string]*window{}}
 }
 
-// SetInstances sets the number of instances that share the slack. While it is not
-// known (0), this instance uses none of it.
+// SetInstances sets the number of instances that share the slack. If n is 0, the
+// number is unknown and this instance uses no slack.
 func (b *Budget) SetInstances(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.share = 0
+	b.slackShare = 0
 	if n > 0 {
-		b.share = 1 / float64(n)
+		b.slackShare = 1 / float64(n)
 	}
 }
 
-// Request counts a request for a service.
+// Request counts a request for a service. Retries are counted by Repeat instead.
 func (b *Budget) Request(service string, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(service, now)
-	w.requests[w.slot%slots]++
+	w := b.windowAt(service, now)
+	w.requests[w.newestSlot%slotsPerWindow]++
 }
 
-// Repeat reports whether a request may be sent once more to a service, and
-// counts it if so.
+// Repeat reports whether the budget of a service allows a retry now, and counts the
+// retry if so.
 func (b *Budget) Repeat(service string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(service, now)
-	requests, repeats := 0, 0
-	for i := range slots {
+	w := b.windowAt(service, now)
+	requests, retries := 0, 0
+	for i := range slotsPerWindow {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	limit := ratioUsed*b.cfg.Ratio*float64(requests) + slackUsed*b.cfg.Slack*b.share
-	if float64(repeats+1) > limit {
+	limit := ratioUsed*b.cfg.Ratio*float64(requests) + slackUsed*b.cfg.Slack*b.slackShare
+	if float64(retries+1) > limit {
 		return false
 	}
-	w.repeats[w.slot%slots]++
+	w.retries[w.newestSlot%slotsPerWindow]++
 	return true
 }
 
-// at returns the window of a service with the slots before it cleared.
-func (b *Budget) at(service string, now time.Duration) *window {
+// windowAt returns the window of a service, advanced to now: slots that have left the
+// window are cleared.
+func (b *Budget) windowAt(service string, now time.Duration) *window {
 	w := b.services[service]
 	if w == nil {
 		w = &window{}
 		b.services[service] = w
 	}
-	length := max(b.cfg.Window/slots, time.Millisecond)
-	slot := int64(now / length)
-	for ; w.slot < slot && slot-w.slot <= slots; w.slot++ {
-		w.clear(w.slot + 1)
+	slotLength := max(b.cfg.Window/slotsPerWindow, time.Millisecond)
+	slot := int64(now / slotLength)
+	for ; w.newestSlot < slot && slot-w.newestSlot <= slotsPerWindow; w.newestSlot++ {
+		w.clearSlot(w.newestSlot + 1)
 	}
-	if w.slot < slot {
-		*w = window{slot: slot}
+	if w.newestSlot < slot {
+		*w = window{newestSlot: slot}
 	}
 	return w
 }
 
-func (w *window) clear(slot int64) {
-	w.requests[slot%slots], w.repeats[slot%slots] = 0, 0
+// clearSlot resets the counts of a slot.
+func (w *window) clearSlot(slot int64) {
+	w.requests[slot%slotsPerWindow], w.retries[slot%slotsPerWindow] = 0, 0
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against repeats beyond the stated bound in any window, whatever the
-// order of requests and repeats on several instances.
-func TestBoundOverInstances(t *testing.T) {
+// Guards against more retries than the configured bound in any window, for random
+// orders of requests and retries on several instances.
+func TestBoundAcrossInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 		n := rapid.IntRange(1, 9).Draw(t, "instances")
@@ -19,7 +19,7 @@
 			all[i] = New(cfg)
 			all[i].SetInstances(n)
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "gap")) * time.Millisecond
@@ -28,11 +28,11 @@
 				b.Request("s", now)
 				requests = append(requests, now)
 			} else if b.Repeat("s", now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
-			in := func(list []time.Duration, from, to time.Duration) (c int) {
+		for _, end := range retries {
+			countWithin := func(list []time.Duration, from, to time.Duration) (c int) {
 				for _, at := range list {
 					if at > from && at <= to {
 						c++
@@ -40,17 +40,17 @@
 				}
 				return c
 			}
-			got := in(repeats, end-cfg.Window, end)
-			base := max(in(requests, end-cfg.Window, end), in(requests, end-2*cfg.Window, end-cfg.Window), in(requests, end-3*cfg.Window/2, end-cfg.Window/2))
-			if float64(got) > cfg.Ratio*float64(base)+cfg.Slack+1 {
-				t.Fatalf("%d repeats for %d requests", got, base)
+			retriesInWindow := countWithin(retries, end-cfg.Window, end)
+			maxRequests := max(countWithin(requests, end-cfg.Window, end), countWithin(requests, end-2*cfg.Window, end-cfg.Window), countWithin(requests, end-3*cfg.Window/2, end-cfg.Window/2))
+			if float64(retriesInWindow) > cfg.Ratio*float64(maxRequests)+cfg.Slack+1 {
+				t.Fatalf("%d retries for %d requests", retriesInWindow, maxRequests)
 			}
 		}
 	})
 }
 
-// Guards against a budget that stays used up after its window.
-func TestBudgetReturns(t *testing.T) {
+// Guards against a budget that stays exhausted after its window.
+func TestBudgetRecovers(t *testing.T) {
 	is := is.New(t)
 	b := New(Config{Ratio: 0.5, Window: 10 * time.Second})
 	for range 10 {
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,6 +1,6 @@
-// Package routing decides where a request may go: it matches host and path to a
-// route, a key to a workspace, and a route's split to a service.
+// Package routing implements the routing table: it maps the host and path of a request
+// to a route, an API key to a workspace, and a route to one of its weighted services.
 //
-// A Table is immutable after Build and safe for concurrent use. The package is
-// pure; it answers for lookups of one request each, at any load.
+// A Table must not be modified after Build, and is then safe for concurrent use. The
+// package does no I/O and reads no clock.
 package routing
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Kind tells what may be repeated.
+// Kind says how requests of a route may be retried and how they are answered.
 type Kind uint8
 
 // Kinds of routes.
 const (
 	Idempotent    Kind = iota + 1 // may run more than once
-	NonIdempotent                 // runs at most once for each attempt of a caller
-	Streaming                     // answered by a stream of numbered events
+	NonIdempotent                 // runs at most once per request of a caller
+	Streaming                     // the response is a stream of numbered events
 )
 
-// String returns the kind as it stands in logs.
+// String returns the name of the kind in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -29,38 +29,40 @@
 	return "unknown"
 }
 
-// Route sends the requests of one host and path prefix to services.
+// Route assigns the requests for a host and path prefix to services.
 type Route struct {
 	Name       string
 	Host       string // lower case, without port
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time until the whole answer.
+	// Timeout is the longest time until the end of the response.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event,
-	// is on time.
+	// Objective is the latency objective for the whole response, or for the first
+	// event of a stream.
 	Objective time.Duration
-	// GapObjective is the longest pause between events of a stream on time.
+	// GapObjective is the latency objective for the gap between two events of a
+	// stream.
 	GapObjective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	Split    []Share
-	// MaxAttempts is the number of targets to which one request may be sent.
+	Split    []Share // services of the route, by weight
+	// MaxAttempts is the largest number of attempts for one request.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// Sticky routes carry prompts whose parts targets keep.
+	// Sticky routes carry prompts whose parts targets keep in their prompt caches.
 	Sticky bool
-	// Resumable streams may go on at another target after the last event.
+	// Resumable streams can continue on another target after the last received event.
 	Resumable bool
 }
 
-// Repeatable reports whether a request that may have run may be sent again.
+// Repeatable reports whether a request may be retried although a target may have run
+// it.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Share is the part of a route's requests that goes to one service.
+// Share is the weight of one service among the services of a route.
 type Share struct {
 	Service string
 	Weight  float64
@@ -70,11 +72,13 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what one target accepts from all instances together; 0 = unknown.
+	// MaxConnections is the number of connections that one target accepts from all
+	// instances together; 0 = unknown.
 	MaxConnections int
-	// ColdFor is how long a target is cold after its start.
+	// ColdFor is how long a target stays cold after its start.
 	ColdFor time.Duration
-	// ColdPerSecond is the number of requests a second that a cold target bears; 0 = no bound.
+	// ColdPerSecond is the number of requests a second that a cold target can serve;
+	// 0 = no limit.
 	ColdPerSecond float64
 	// Engine is nil for plain services.
 	Engine *Engine
@@ -82,21 +86,24 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests that run at once on a target.
+	// Slots is the number of requests that a target runs concurrently.
 	Slots int
-	// CacheTokens is the memory of a target for running requests and kept prompts.
+	// CacheTokens is the memory of a target for running requests and its prompt
+	// cache, in tokens.
 	CacheTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// Moves reports that running requests can move to another target.
+	// Moves reports whether a running request can move to another target.
 	Moves bool
-	// Backups reports that the memory of a run can be copied while it grows.
+	// Backups reports whether the memory of a running request can be copied while it
+	// grows.
 	Backups bool
-	// HandleLife is how long a copy of a run's memory is kept.
+	// HandleLife is how long the copy of a running request's memory is kept.
 	HandleLife time.Duration
 }
 
-// CallerLimits bound what a caller may send and how long it may take.
+// CallerLimits limits the size of a caller's request, in bytes, and how long the caller
+// may take to send its header or keep a connection idle.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -104,39 +111,39 @@
 	IdleTimeout   time.Duration
 }
 
-// KeyHash is the SHA-256 hash of a workspace's key.
+// KeyHash is the SHA-256 hash of a workspace's API key.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the hash under which a key is known.
+// HashKey returns the hash of an API key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Workspace is a tenant.
+// Workspace is a tenant with its API keys.
 type Workspace struct {
 	Name     string
 	Keys     []KeyHash
 	Priority int
 }
 
-// Table is one version of the routes, services and workspaces.
+// Table is one version of the routing configuration.
 type Table struct {
 	Version uint64
 	Routes  []Route
-	// Services holds the services by name.
+	// Services maps names to services.
 	Services   map[string]*Service
 	Workspaces []Workspace
 	Callers    CallerLimits
-	// TokensPerSecond is what the engines produce together: a token read counts
-	// once, a token generated twice.
+	// TokensPerSecond is the throughput of all engines together. A prompt token counts
+	// once, a generated token twice.
 	TokensPerSecond float64
 
-	hosts map[string][]*Route // longest prefix first
-	keys  map[KeyHash]*Workspace
+	routesByHost    map[string][]*Route // longest prefix first
+	workspacesByKey map[KeyHash]*Workspace
 }
 
-// Resolve returns the route of a request, or nil. Path is the raw path without
-// the query.
+// Resolve returns the route with the longest matching path prefix for the host, or nil.
+// path is the raw path without the query.
 func (t *Table) Resolve(host, path string) *Route {
-	for _, r := range t.hosts[NormalHost(host)] {
+	for _, r := range t.routesByHost[NormalHost(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
@@ -144,10 +151,10 @@
 	return nil
 }
 
-// Workspace returns the workspace that holds a key, or nil.
-func (t *Table) Workspace(key string) *Workspace { return t.keys[HashKey(key)] }
+// Workspace returns the workspace with the given API key, or nil.
+func (t *Table) Workspace(key string) *Workspace { return t.workspacesByKey[HashKey(key)] }
 
-// NormalHost returns a host in lower case without its port.
+// NormalHost returns the host in lower case and without a port.
 func NormalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -155,18 +162,19 @@
 	return strings.ToLower(host)
 }
 
-// Choose returns the service for a request, for a number uniform in [0, 1).
+// Choose returns the service for a request, in proportion to the weights. uniform is a
+// uniformly distributed number in [0, 1).
 func (r *Route) Choose(uniform float64) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	at := uniform * total
+	remaining := uniform * total
 	for _, s := range r.Split {
-		if at < s.Weight {
+		if remaining < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		remaining -= s.Weight
 	}
 	return r.Split[len(r.Split)-1].Service
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func example() *Table {
+func exampleTable() *Table {
 	return &Table{
 		Version:  3,
 		Services: map[string]*Service{"a": {Name: "a"}, "b": {Name: "b"}},
@@ -21,11 +21,11 @@
 	}
 }
 
-// Guards against a request that takes another route than the longest prefix of its
+// Guards against a route other than the one with the longest matching prefix of the
 // host.
 func TestResolve(t *testing.T) {
 	is := is.New(t)
-	x := example()
+	x := exampleTable()
 	is.NoErr(x.Build())
 	for _, c := range []struct{ host, path, want string }{
 		{"x.example", "/p/q/1", "long"}, {"X.Example:8080", "/p/q/", "long"}, {"x.example", "/p/q", "short"},
@@ -40,10 +40,10 @@
 	}
 }
 
-// Guards against a key that selects no workspace, or another one.
+// Guards against an API key that selects no workspace, or the wrong one.
 func TestWorkspace(t *testing.T) {
 	is := is.New(t)
-	x := example()
+	x := exampleTable()
 	is.NoErr(x.Build())
 	is.Equal(x.Workspace("k2").Name, "w")
 	is.Equal(x.Workspace("k3").Name, "v")
@@ -51,8 +51,7 @@
 	is.True(x.Workspace("k") == nil)
 }
 
-// Guards against a split that sends requests to a service without weight, or not
-// in proportion.
+// Guards against services that get requests out of proportion to their weights.
 func TestChoose(t *testing.T) {
 	is := is.New(t)
 	r := Route{Split: []Share{{"a", 0}, {"b", 3}, {"c", 1}}}
@@ -63,27 +62,27 @@
 	is.Equal(count, map[string]int{"b": 300, "c": 100})
 }
 
-// Guards against an invalid table being accepted, and a valid one being refused.
+// Guards against Build accepting an invalid table or rejecting a valid one.
 func TestBuild(t *testing.T) {
-	is.New(t).NoErr(example().Build())
+	is.New(t).NoErr(exampleTable().Build())
 	for name, change := range map[string]func(*Table){
-		"no version":      func(x *Table) { x.Version = 0 },
-		"unknown service": func(x *Table) { x.Routes[1].Split[1].Service = "gone" },
-		"same place":      func(x *Table) { x.Routes[3].Host = "x.example" },
-		"no weight":       func(x *Table) { x.Routes[2].Split[0].Weight = 0 },
-		"negative weight": func(x *Table) { x.Routes[1].Split[1].Weight = -1 },
-		"no split":        func(x *Table) { x.Routes[2].Split = nil },
-		"no timeout":      func(x *Table) { x.Routes[0].Timeout = 0 },
-		"unknown kind":    func(x *Table) { x.Routes[0].Kind = 0 },
-		"shared key":      func(x *Table) { x.Workspaces[1].Keys = append(x.Workspaces[1].Keys, HashKey("k1")) },
+		"no version":           func(x *Table) { x.Version = 0 },
+		"unknown service":      func(x *Table) { x.Routes[1].Split[1].Service = "gone" },
+		"same host and prefix": func(x *Table) { x.Routes[3].Host = "x.example" },
+		"no weight":            func(x *Table) { x.Routes[2].Split[0].Weight = 0 },
+		"negative weight":      func(x *Table) { x.Routes[1].Split[1].Weight = -1 },
+		"no split":             func(x *Table) { x.Routes[2].Split = nil },
+		"no timeout":           func(x *Table) { x.Routes[0].Timeout = 0 },
+		"unknown kind":         func(x *Table) { x.Routes[0].Kind = 0 },
+		"shared key":           func(x *Table) { x.Workspaces[1].Keys = append(x.Workspaces[1].Keys, HashKey("k1")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := example()
+			x := exampleTable()
 			change(x)
 			is.New(t).True(x.Build() != nil)
 		})
 	}
-	x := example()
-	x.Workspaces[0].Keys = append(x.Workspaces[0].Keys, HashKey("k1")) // one workspace may name a key twice
+	x := exampleTable()
+	x.Workspaces[0].Keys = append(x.Workspaces[0].Keys, HashKey("k1")) // a workspace may list a key twice
 	is.New(t).NoErr(x.Build())
 }
