--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -22,9 +22,9 @@
 	// Ticks of instances with free processor time are delayed by 0 to 15 ms. A
 	// request waits for the processor several times, and so does each of its events.
 	maxMeanDelay = 20 * time.Millisecond
-	// delayWeight is the weight of the newest tick in the moving average. It is low
-	// enough that a single delayed tick, such as a burst of connections causes, does
-	// not limit the rate.
+	// delayWeight is the weight of the newest tick in the moving average. The average
+	// keeps a single short delay, such as a burst of connections causes, from limiting
+	// the rate.
 	delayWeight = 0.3
 	// maxDelaySample limits the effect of one tick on the moving average.
 	maxDelaySample = 150 * time.Millisecond
@@ -34,8 +34,9 @@
 	// rateDecrease is the factor by which the rate limit, or the accepted rate if that
 	// is lower, is multiplied at each overloaded tick.
 	rateDecrease = 0.85
-	// At each other tick with shed requests, the rate limit grows by the fraction
-	// rateIncrease of itself, and at least by minRateIncrease requests a second.
+	// At each other tick with shed requests, an existing rate limit grows by the
+	// fraction rateIncrease of itself, and at least by minRateIncrease requests a
+	// second.
 	rateIncrease    = 0.04
 	minRateIncrease = 2.0
 	// minRate is the lowest rate limit, in requests a second.
