--- a/internal/consensus/codec.go
+++ b/internal/consensus/codec.go
@@ -6,14 +6,15 @@
 	"github.com/pkg/errors"
 )
 
-// The binary form consists of unsigned varints and of byte strings that follow
-// their length. Decoders refuse trailing bytes and allocate no more than a
-// constant factor of the input.
+// The binary form consists of unsigned varints and of byte strings, each after its
+// length. Decode functions reject trailing bytes and allocate at most a constant
+// multiple of the size of the input. Decoded Data and Chunk fields share the memory of
+// the input.
 
-// ErrEncoding reports a malformed binary form.
+// ErrEncoding is the error of all decode functions for a malformed binary form.
 var ErrEncoding = errors.New("consensus: malformed encoding")
 
-// AppendEntryTo appends the binary form of an entry.
+// AppendEntryTo appends the binary form of an entry to b and returns the extended slice.
 func AppendEntryTo(b []byte, e Entry) []byte {
 	b = binary.AppendUvarint(b, e.Index)
 	b = binary.AppendUvarint(b, e.Term)
@@ -21,31 +22,32 @@
 	return appendBytes(b, e.Data)
 }
 
-// ReadEntry reads an entry and returns the bytes after it.
+// ReadEntry decodes the entry at the start of b and returns it with the bytes after it.
 func ReadEntry(b []byte) (Entry, []byte, error) {
-	r := reader{b: b}
-	e := r.entry()
-	return e, r.b, r.err()
+	d := decoder{b: b}
+	e := d.entry()
+	return e, d.b, d.err()
 }
 
 // EncodeMembership returns the binary form of a membership.
 func EncodeMembership(m Membership) []byte { return appendMembership(nil, m) }
 
-// DecodeMembership reads a membership.
+// DecodeMembership decodes a membership, which must take up all of b.
 func DecodeMembership(b []byte) (Membership, error) {
-	r := reader{b: b}
-	m := r.membership()
-	return m, r.end()
+	d := decoder{b: b}
+	m := d.membership()
+	return m, d.finish()
 }
 
-// EncodeMessage returns the binary form of a message. Fields that are zero take
-// no byte, because heartbeats make up most of the traffic of an idle group.
+// EncodeMessage returns the binary form of a message. Zero fields are omitted and
+// marked as absent in a bit mask, because heartbeats with few fields make up most of the
+// traffic of an idle group.
 func EncodeMessage(m Message) []byte {
 	b := []byte{byte(m.Type)}
-	b = binary.AppendUvarint(b, present(&m))
+	b = binary.AppendUvarint(b, fieldMask(&m))
 	b = appendBytes(b, []byte(m.From))
 	b = appendBytes(b, []byte(m.To))
-	for _, v := range numbers(&m) {
+	for _, v := range numberFields(&m) {
 		if *v != 0 {
 			b = binary.AppendUvarint(b, *v)
 		}
@@ -65,7 +67,8 @@
 	return b
 }
 
-// Bits of the mask of present fields; the numbers follow from bit maskNumbers on.
+// Bits of the mask of present fields. The bits from maskNumbers on stand for the fields
+// of numberFields.
 const (
 	maskReject = 1 << iota
 	maskForce
@@ -75,19 +78,20 @@
 	maskNumbers
 )
 
-// numbers returns the number fields in the order of the binary form.
-func numbers(m *Message) []*uint64 {
+// numberFields returns pointers to the numeric fields in the order of the binary form.
+func numberFields(m *Message) []*uint64 {
 	return []*uint64{&m.Term, &m.Commit, &m.Index, &m.LogTerm, &m.Hint, &m.Read, &m.Offset, &m.Total}
 }
 
-func present(m *Message) uint64 {
+// fieldMask returns the mask of the fields of a message that are not zero.
+func fieldMask(m *Message) uint64 {
 	var mask uint64
 	for i, set := range [...]bool{m.Reject, m.Force, m.Reply, len(m.Entries) > 0, len(m.Chunk) > 0} {
 		if set {
 			mask |= maskReject << i
 		}
 	}
-	for i, v := range numbers(m) {
+	for i, v := range numberFields(m) {
 		if *v != 0 {
 			mask |= maskNumbers << i
 		}
@@ -95,37 +99,39 @@
 	return mask
 }
 
-// DecodeMessage reads a message.
+// DecodeMessage decodes a message, which must take up all of b. It also rejects unknown
+// types, a mask that does not match the fields, and entries that do not follow each other.
 func DecodeMessage(b []byte) (Message, error) {
-	r := reader{b: b}
-	m := Message{Type: MessageType(r.byte())}
-	mask := r.uvarint()
+	d := decoder{b: b}
+	m := Message{Type: MessageType(d.byte())}
+	mask := d.uvarint()
 	m.Reject, m.Force, m.Reply = mask&maskReject != 0, mask&maskForce != 0, mask&maskReply != 0
-	m.From, m.To = string(r.bytes()), string(r.bytes())
-	for i, v := range numbers(&m) {
+	m.From, m.To = string(d.bytes()), string(d.bytes())
+	for i, v := range numberFields(&m) {
 		if mask&(maskNumbers<<i) != 0 {
-			*v = r.uvarint()
+			*v = d.uvarint()
 		}
 	}
 	if mask&maskEntries != 0 {
-		for k := r.uvarint(); k > 0 && !r.bad; k-- {
-			m.Entries = append(m.Entries, r.entry())
+		for n := d.uvarint(); n > 0 && !d.malformed; n-- {
+			m.Entries = append(m.Entries, d.entry())
 		}
 	}
 	if mask&maskChunk != 0 {
-		m.Chunk = r.bytes()
+		m.Chunk = d.bytes()
 	}
 	if m.Type == MsgSnapshot {
-		m.Members = r.membership()
+		m.Members = d.membership()
 	}
-	if m.Type == 0 || m.Type >= msgEnd || mask != present(&m) || !consecutive(m) {
-		r.bad = true
+	if m.Type == 0 || m.Type >= msgEnd || mask != fieldMask(&m) || !validEntries(m) {
+		d.malformed = true
 	}
-	return m, r.end()
+	return m, d.finish()
 }
 
-// consecutive reports whether the entries follow the previous index.
-func consecutive(m Message) bool {
+// validEntries reports whether the indices of the entries follow m.Index without a gap
+// and no term is above that of the message.
+func validEntries(m Message) bool {
 	for i, e := range m.Entries {
 		if e.Index != m.Index+1+uint64(i) || e.Term > m.Term {
 			return false
@@ -138,88 +144,89 @@
 	return append(binary.AppendUvarint(b, uint64(len(v))), v...)
 }
 
-func appendMembership(b []byte, m Membership) []byte {
-	for _, list := range [][]Member{m.Voters, m.Learners} {
+func appendMembership(b []byte, membership Membership) []byte {
+	for _, list := range [][]Member{membership.Voters, membership.Learners} {
 		b = binary.AppendUvarint(b, uint64(len(list)))
-		for _, x := range list {
-			b = appendBytes(b, []byte(x.ID))
-			b = appendBytes(b, []byte(x.Instance))
+		for _, m := range list {
+			b = appendBytes(b, []byte(m.ID))
+			b = appendBytes(b, []byte(m.Instance))
 		}
 	}
 	return b
 }
 
-// reader consumes a binary form. After an error all reads return zero values.
-type reader struct {
-	b   []byte
-	bad bool
+// decoder consumes a binary form. After an error all its methods return zero values.
+type decoder struct {
+	b         []byte // rest of the input
+	malformed bool
 }
 
-func (r *reader) err() error {
-	if r.bad {
+func (d *decoder) err() error {
+	if d.malformed {
 		return ErrEncoding
 	}
 	return nil
 }
 
-func (r *reader) end() error {
-	if len(r.b) > 0 {
-		r.bad = true
+// finish returns an error if the input was malformed or is not consumed completely.
+func (d *decoder) finish() error {
+	if len(d.b) > 0 {
+		d.malformed = true
 	}
-	return r.err()
+	return d.err()
 }
 
-func (r *reader) byte() byte {
-	if r.bad || len(r.b) == 0 {
-		r.bad = true
+func (d *decoder) byte() byte {
+	if d.malformed || len(d.b) == 0 {
+		d.malformed = true
 		return 0
 	}
-	v := r.b[0]
-	r.b = r.b[1:]
+	v := d.b[0]
+	d.b = d.b[1:]
 	return v
 }
 
-func (r *reader) uvarint() uint64 {
-	v, k := binary.Uvarint(r.b)
-	if r.bad || k <= 0 {
-		r.bad = true
+func (d *decoder) uvarint() uint64 {
+	v, n := binary.Uvarint(d.b)
+	if d.malformed || n <= 0 {
+		d.malformed = true
 		return 0
 	}
-	r.b = r.b[k:]
+	d.b = d.b[n:]
 	return v
 }
 
-func (r *reader) bytes() []byte {
-	k := r.uvarint()
-	if r.bad || k > uint64(len(r.b)) {
-		r.bad = true
+func (d *decoder) bytes() []byte {
+	n := d.uvarint()
+	if d.malformed || n > uint64(len(d.b)) {
+		d.malformed = true
 		return nil
 	}
-	if k == 0 {
+	if n == 0 {
 		return nil
 	}
-	v := r.b[:k:k]
-	r.b = r.b[k:]
+	v := d.b[:n:n]
+	d.b = d.b[n:]
 	return v
 }
 
-func (r *reader) entry() Entry {
-	e := Entry{Index: r.uvarint(), Term: r.uvarint(), Kind: EntryKind(r.byte())}
-	e.Data = r.bytes()
+func (d *decoder) entry() Entry {
+	e := Entry{Index: d.uvarint(), Term: d.uvarint(), Kind: EntryKind(d.byte())}
+	e.Data = d.bytes()
 	if e.Kind > EntryMembers {
-		r.bad = true
+		d.malformed = true
 	}
 	return e
 }
 
-func (r *reader) membership() Membership {
-	return Membership{Voters: r.memberList(), Learners: r.memberList()}
+func (d *decoder) membership() Membership {
+	return Membership{Voters: d.memberList(), Learners: d.memberList()}
 }
 
-func (r *reader) memberList() []Member {
+func (d *decoder) memberList() []Member {
 	var list []Member
-	for k := r.uvarint(); k > 0 && !r.bad; k-- {
-		list = append(list, Member{ID: string(r.bytes()), Instance: string(r.bytes())})
+	for n := d.uvarint(); n > 0 && !d.malformed; n-- {
+		list = append(list, Member{ID: string(d.bytes()), Instance: string(d.bytes())})
 	}
 	return list
 }
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,18 +1,20 @@
-// Package consensus is a replicated log: elections with pre-vote, a leader that
-// steps down when it hears from no quorum, snapshots, learners, single-step
-// membership changes, leadership transfer and reads confirmed by a quorum.
+// Package consensus implements the Raft consensus algorithm: a replicated log
+// with leader election, pre-vote, check quorum, snapshots, learners, single-server
+// membership changes, leadership transfer and linearisable reads (ReadIndex).
 //
-// The package is pure. A Node has no clock, goroutine, file or socket. Time
-// enters by Tick, messages by Step, commands by Propose. The caller repeats
+// A Node is a state machine without clock, goroutine, file or socket. Tick
+// advances its time, Step passes it a message and Propose a command. The caller
+// repeats
 //
 //	rd := n.Ready()
 //	// 1. write rd.Snapshot, rd.Hard and rd.Entries and sync them
 //	// 2. send rd.Messages
-//	// 3. restore rd.Snapshot, apply rd.Committed, answer rd.Reads
+//	// 3. restore rd.Snapshot, apply rd.Committed, serve rd.Reads
 //	n.Advance(rd)
 //
-// while HasReady reports true, without any other call in between. Messages may
-// be lost, delayed, doubled and reordered. Guarantees, provided step 1 is
-// durable before step 2: at most one leader per term, equal logs up to any index
-// with an equal term, and no committed entry is lost or replaced.
+// while HasReady reports true, and calls no other method that changes the Node
+// between Ready and Advance. The network may lose, delay, duplicate and reorder
+// messages. If step 1 is durable before step 2, the following holds: there is at
+// most one leader per term, logs that agree on the term of an index are equal up
+// to that index, and no committed entry is lost or replaced.
 package consensus
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -10,80 +10,81 @@
 	"github.com/matryer/is"
 )
 
-func simOf(t *testing.T, n int) *sim {
+func newSeededSim(t *testing.T, n int) *sim {
 	return newSim(t, rand.New(rand.NewPCG(1, uint64(n))).IntN, n)
 }
 
-// TestLeaderCrash guards against a command that is lost after a quorum has
-// synced it, or applied although it was replaced, when the leader ends at any
-// step of its work.
+// TestLeaderCrash guards against a command that is lost after a quorum has synced it,
+// or applied although it was replaced, when the leader crashes at any step of the
+// handling of a Ready.
 func TestLeaderCrash(t *testing.T) {
 	for _, at := range []crashPoint{beforeSync, afterSync, afterSend, afterApply} {
 		for _, n := range []int{1, 3} {
 			t.Run(fmt.Sprintf("point %d of %d replicas", at, n), func(t *testing.T) {
-				s := simOf(t, n)
-				s.commit(5)
+				s := newSeededSim(t, n)
+				s.commitCommands(5)
 				l := s.waitLeader()
 				s.propose(l)
-				s.run(l, at)
+				s.processReady(l, at)
 				s.crash(l)
-				s.settle(60)
+				s.runTicks(60)
 				if n > 1 {
-					s.commit(3)
+					s.commitCommands(3)
 				}
 				s.start(l)
-				s.commit(3)
-				s.checkAll()
+				s.commitCommands(3)
+				s.checkConverged()
 			})
 		}
 	}
 }
 
-// TestIsolatedLeader guards against a leader that goes on without a quorum, and
-// against a replica that disturbs the group when it returns after a long time.
+// TestIsolatedLeader guards against a leader that does not step down without a quorum,
+// and against a replica that disrupts the group when it is connected again after a
+// long time.
 func TestIsolatedLeader(t *testing.T) {
 	is := is.New(t)
-	s := simOf(t, 3)
+	s := newSeededSim(t, 3)
 	old := s.waitLeader()
-	s.side[old] = 1
+	s.partition[old] = 1
 	for range 300 { // commands that only the isolated leader has
 		s.propose(old)
 	}
-	s.run(old, noCrash)
-	s.settle(11)
-	is.True(s.boxes[old].node.Role() != Leader) // stepped down within one election timeout
-	s.commit(5)
+	s.processReady(old, noCrash)
+	s.runTicks(11)
+	is.True(s.replicas[old].node.Role() != Leader) // stepped down within one election timeout
+	s.commitCommands(5)
 	l := s.leader()
-	term := s.boxes[l].node.Term()
-	s.settle(1000)
+	term := s.replicas[l].node.Term()
+	s.runTicks(1000)
 	s.compact(l, 0)
-	clear(s.side)
-	s.checkAll()
-	is.Equal(s.leader(), l)                // no election on return
-	is.Equal(s.boxes[l].node.Term(), term) // pre-vote changed no term
-	is.Equal(s.boxes[old].node.Last(), s.boxes[l].node.Last())
+	clear(s.partition)
+	s.checkConverged()
+	is.Equal(s.leader(), l)                   // no election on return
+	is.Equal(s.replicas[l].node.Term(), term) // pre-vote changed no term
+	is.Equal(s.replicas[old].node.Last(), s.replicas[l].node.Last())
 }
 
-// TestReadNeedsQuorum guards against a read that an isolated leader answers
-// while others have a newer commit.
+// TestReadNeedsQuorum guards against a stale read: an isolated leader serves it while
+// the others have committed newer entries.
 func TestReadNeedsQuorum(t *testing.T) {
 	is := is.New(t)
-	s := simOf(t, 3)
+	s := newSeededSim(t, 3)
 	l := s.waitLeader()
 	s.read(l)
-	s.settle(2)
-	is.Equal(s.answered, 1)
-	s.side[l] = 1
+	s.runTicks(2)
+	is.Equal(s.confirmedReads, 1)
+	s.partition[l] = 1
 	s.read(l)
-	s.settle(40)
-	is.Equal(s.answered, 1)
+	s.runTicks(40)
+	is.Equal(s.confirmedReads, 1)
 	f := s.ids[(slices.Index(s.ids, l)+1)%3]
-	is.Equal(s.boxes[f].node.ReadIndex(1) == nil, f == s.leader()) // followers refuse
+	is.Equal(s.replicas[f].node.ReadIndex(1) == nil, f == s.leader()) // fails on followers
 }
 
-// TestEarlierTerm guards against committing an entry of an earlier term by
-// counting its copies, which a later leader could replace.
-func TestEarlierTerm(t *testing.T) {
+// TestCommitNeedsCurrentTerm guards against an entry of an earlier term that is
+// committed because a quorum has it. A later leader could still replace it.
+func TestCommitNeedsCurrentTerm(t *testing.T) {
 	is := is.New(t)
 	m := Membership{Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	n := New(Config{ID: "a", ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
@@ -115,8 +116,8 @@
 	is.Equal(n.ProposeChange(Change{AddLearner, Member{ID: "e"}}), ErrPending)
 }
 
-// follower returns a follower in term 3 with entries 2 to 5 of term 2.
-func follower() *Node {
+// newFollower returns a follower in term 3 with entries 2 to 5 of term 2.
+func newFollower() *Node {
 	m := Membership{Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	var entries []Entry
 	for i := uint64(2); i <= 5; i++ {
@@ -126,9 +127,9 @@
 		HardState{Term: 3}, Bootstrap(m, nil), entries)
 }
 
-// TestFollower guards against a follower that commits or keeps entries which the
-// leader's message does not cover.
-func TestFollower(t *testing.T) {
+// TestFollowerMessages guards against a follower that commits entries beyond those of
+// the leader's message, or keeps entries that conflict with it.
+func TestFollowerMessages(t *testing.T) {
 	cases := map[string]struct {
 		msg          Message
 		commit, last uint64
@@ -137,7 +138,7 @@
 			Message{Type: MsgAppend, Index: 2, LogTerm: 2, Commit: 5}, 2, 5},
 		"conflicting entries replaced": {
 			Message{Type: MsgAppend, Index: 2, LogTerm: 2, Commit: 3, Entries: []Entry{{Index: 3, Term: 3}}}, 3, 3},
-		"gap refused": {
+		"gap rejected": {
 			Message{Type: MsgAppend, Index: 7, LogTerm: 3, Commit: 7}, 1, 5},
 		"snapshot that contradicts the log": {
 			Message{Type: MsgSnapshot, Index: 4, LogTerm: 3}, 4, 4},
@@ -151,7 +152,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := follower()
+			n := newFollower()
 			m := tc.msg
 			m.From = "b"
 			if m.To == "" {
@@ -167,31 +168,31 @@
 	}
 }
 
-// TestVotes guards against votes for a stale log, two votes in one term, and
-// candidates heard while a leader is known.
+// TestVotes guards against votes for a stale log, two votes in one term, and votes for
+// a candidate while a leader is known.
 func TestVotes(t *testing.T) {
 	vote := Message{Type: MsgVote, Term: 4, Index: 5, LogTerm: 2}
-	beat := Message{Type: MsgHeartbeat, Term: 3, From: "c", To: "a"}
+	heartbeat := Message{Type: MsgHeartbeat, Term: 3, From: "c", To: "a"}
 	with := func(f func(m *Message)) Message { m := vote; f(&m); return m }
 	cases := map[string]struct {
-		first   []Message
+		earlier []Message
 		msg     Message
 		granted bool
 	}{
-		"equal log":               {nil, vote, true},
-		"shorter log":             {nil, with(func(m *Message) { m.Index = 4 }), false},
-		"log of an earlier term":  {nil, with(func(m *Message) { m.Index, m.LogTerm = 9, 1 }), false},
-		"second candidate":        {[]Message{with(func(m *Message) { m.From, m.To = "c", "a" })}, vote, false},
-		"leader known":            {[]Message{beat}, vote, false},
-		"transfer by the leader":  {[]Message{beat}, with(func(m *Message) { m.Force = true }), true},
-		"pre-vote, leader known":  {[]Message{beat}, with(func(m *Message) { m.Type = MsgPreVote }), false},
-		"pre-vote, leader silent": {nil, with(func(m *Message) { m.Type = MsgPreVote }), true},
+		"equal log":                 {nil, vote, true},
+		"shorter log":               {nil, with(func(m *Message) { m.Index = 4 }), false},
+		"log of an earlier term":    {nil, with(func(m *Message) { m.Index, m.LogTerm = 9, 1 }), false},
+		"second candidate":          {[]Message{with(func(m *Message) { m.From, m.To = "c", "a" })}, vote, false},
+		"leader known":              {[]Message{heartbeat}, vote, false},
+		"transfer by the leader":    {[]Message{heartbeat}, with(func(m *Message) { m.Force = true }), true},
+		"pre-vote, leader known":    {[]Message{heartbeat}, with(func(m *Message) { m.Type = MsgPreVote }), false},
+		"pre-vote, no known leader": {nil, with(func(m *Message) { m.Type = MsgPreVote }), true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := follower()
-			for _, m := range tc.first {
+			n := newFollower()
+			for _, m := range tc.earlier {
 				n.Step(m)
 			}
 			n.Advance(n.Ready())
@@ -205,74 +206,75 @@
 	}
 }
 
-// TestDiskLost guards against a group that does not survive the loss of a disk,
-// its replacement under a new identity, and the loss of a second disk after it.
+// TestDiskLost guards against a group that stops or loses entries when its disks are
+// lost one after the other and each is replaced under a new identity.
 func TestDiskLost(t *testing.T) {
 	is := is.New(t)
-	s := simOf(t, 3)
-	s.commit(20)
+	s := newSeededSim(t, 3)
+	s.commitCommands(20)
 	s.compact(s.waitLeader(), 0)
-	for i, lost := range []string{"r1", "r0", "r2"} {
-		s.crash(lost)
-		s.settle(60)
-		fresh := fmt.Sprintf("new%d", i)
-		s.add(fresh)
-		for _, c := range []Change{{AddLearner, Member{fresh, lost}}, {Remove, Member{lost, lost}}, {Promote, Member{fresh, lost}}} {
-			is.NoErr(s.boxes[s.waitLeader()].node.ProposeChange(c))
-			s.commit(2)
+	for i, failed := range []string{"r1", "r0", "r2"} {
+		s.crash(failed)
+		s.runTicks(60)
+		replacement := fmt.Sprintf("new%d", i)
+		s.addReplica(replacement)
+		for _, c := range []Change{{AddLearner, Member{replacement, failed}}, {Remove, Member{failed, failed}}, {Promote, Member{replacement, failed}}} {
+			is.NoErr(s.replicas[s.waitLeader()].node.ProposeChange(c))
+			s.commitCommands(2)
 		}
 	}
-	s.checkAll()
-	voters := s.boxes[s.leader()].node.Members().Voters
+	s.checkConverged()
+	voters := s.replicas[s.leader()].node.Members().Voters
 	is.Equal(len(voters), 3)
 	for _, v := range voters {
 		is.Equal(v.ID[:3], "new")
-		is.True(s.boxes[v.ID].applied > 20)
+		is.True(s.replicas[v.ID].applied > 20)
 	}
 }
 
-// TestMembershipChanges guards against changes that break the quorum rules.
+// TestMembershipChanges guards against invalid changes, such as two entries for one
+// replica or a group without a voter.
 func TestMembershipChanges(t *testing.T) {
 	m := Membership{Voters: []Member{{ID: "a"}, {ID: "b"}}, Learners: []Member{{ID: "l"}}}
 	single := Membership{Voters: []Member{{ID: "a"}}}
 	cases := map[string]struct {
-		from Membership
-		c    Change
-		ok   bool
+		from   Membership
+		change Change
+		ok     bool
 	}{
-		"add":               {m, Change{AddLearner, Member{ID: "x"}}, true},
-		"add a voter again": {m, Change{AddLearner, Member{ID: "a"}}, false},
-		"add without id":    {m, Change{AddLearner, Member{}}, false},
-		"promote":           {m, Change{Promote, Member{ID: "l"}}, true},
-		"promote stranger":  {m, Change{Promote, Member{ID: "x"}}, false},
-		"remove":            {m, Change{Remove, Member{ID: "b"}}, true},
-		"remove last voter": {single, Change{Remove, Member{ID: "a"}}, false},
+		"add":                     {m, Change{AddLearner, Member{ID: "x"}}, true},
+		"add a voter again":       {m, Change{AddLearner, Member{ID: "a"}}, false},
+		"add without id":          {m, Change{AddLearner, Member{}}, false},
+		"promote":                 {m, Change{Promote, Member{ID: "l"}}, true},
+		"promote unknown replica": {m, Change{Promote, Member{ID: "x"}}, false},
+		"remove":                  {m, Change{Remove, Member{ID: "b"}}, true},
+		"remove last voter":       {single, Change{Remove, Member{ID: "a"}}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			out, ok := tc.from.apply(tc.c)
+			out, ok := tc.from.apply(tc.change)
 			is.Equal(ok, tc.ok)
 			is.True(len(out.Voters) >= 1)
 		})
 	}
 }
 
-// TestTransfer guards against a planned stop that leaves the group without a
-// leader for an election timeout.
+// TestTransfer guards against a planned stop of the leader that leaves the group
+// without a leader for an election timeout.
 func TestTransfer(t *testing.T) {
 	is := is.New(t)
-	s := simOf(t, 3)
-	s.commit(5)
+	s := newSeededSim(t, 3)
+	s.commitCommands(5)
 	l := s.waitLeader()
-	is.True(s.boxes[l].node.Transfer())
-	_, _, err := s.boxes[l].node.Propose(nil)
+	is.True(s.replicas[l].node.Transfer())
+	_, _, err := s.replicas[l].node.Propose(nil)
 	is.True(errors.Is(err, ErrTransfer))
-	s.settle(3)
+	s.runTicks(3)
 	is.True(s.leader() != "" && s.leader() != l)
-	s.commit(5)
-	s.checkAll()
-	is.True(!simOf(t, 1).boxes["r0"].node.Transfer()) // no other voter
+	s.commitCommands(5)
+	s.checkConverged()
+	is.True(!newSeededSim(t, 1).replicas["r0"].node.Transfer()) // no other voter
 }
 
 // FuzzDecodeMessage guards against panics and unbounded memory on malformed
@@ -293,8 +295,8 @@
 	})
 }
 
-// TestRemovedVoterCampaigns guards against a group without a leader when only a
-// voter whose removal is not committed has the newest log.
+// TestRemovedVoterCampaigns guards against a group that can elect no leader because only
+// a voter whose removal is not committed has the newest log.
 func TestRemovedVoterCampaigns(t *testing.T) {
 	is := is.New(t)
 	two, one := []Member{{ID: "a"}, {ID: "b"}}, []Member{{ID: "b"}}
@@ -315,13 +317,13 @@
 	is.Equal(n.Role(), Follower) // the removal is committed
 }
 
-// TestRestartTogether guards against a group that stays without a leader for a whole
-// election timeout after all its replicas were stopped, though none can be led.
-func TestRestartTogether(t *testing.T) {
+// TestRestartAllReplicas guards against a group that waits for a whole election timeout
+// after all its replicas were stopped, although none of them can have a leader.
+func TestRestartAllReplicas(t *testing.T) {
 	is := is.New(t)
-	s := simOf(t, 5)
-	s.commit(3)
-	s.first = 3
+	s := newSeededSim(t, 5)
+	s.commitCommands(3)
+	s.initialElectionTicks = 3
 	for _, id := range s.ids {
 		s.crash(id)
 	}
@@ -329,12 +331,12 @@
 	for _, id := range s.ids[1:] {
 		s.start(id)
 	}
-	s.settle(8) // less than the 10 ticks of the shortest usual timeout
+	s.runTicks(8) // less than the 10 ticks of the shortest usual timeout
 	is.True(s.leader() != "")
-	s.start(s.ids[0]) // the last one does not disturb the others
+	s.start(s.ids[0]) // the last one does not disrupt the others
 	l := s.leader()
-	s.settle(30)
+	s.runTicks(30)
 	is.Equal(s.leader(), l)
-	s.commit(3)
-	s.checkAll()
+	s.commitCommands(3)
+	s.checkConverged()
 }
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -2,33 +2,36 @@
 
 import "slices"
 
-// ChangeKind selects a membership change.
+// ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
-// Membership changes. Each changes the voters by at most one, so that the
+// Kinds of membership changes. Each changes the voters by at most one, so that the
 // quorums before and after intersect.
 const (
 	AddLearner ChangeKind = iota + 1
-	Promote               // a learner becomes a voter
-	Remove                // a voter or learner leaves
+	Promote               // makes a learner a voter
+	Remove                // removes a voter or a learner
 )
 
-// Change is one membership change.
+// Change is one membership change. Promote and Remove find the member by its ID.
 type Change struct {
 	Kind   ChangeKind
 	Member Member
 }
 
-// ProposeChange appends a membership change. It is refused while an earlier one
-// or the first entry of the leader's term is not committed: a change made before
-// that could overlap with one of an earlier leader without a common quorum.
+// ProposeChange appends a membership change, which is in force at once. It fails with
+// ErrNotLeader or ErrTransfer like Propose, with ErrPending while an earlier change is
+// not committed, with ErrNotReady while the first entry of the leader's term is not
+// committed, and with ErrChange if the change does not fit the membership. A change
+// before that first commit could overlap with one of an earlier leader, and the quorums
+// of the two might not intersect.
 func (n *Node) ProposeChange(c Change) error {
 	switch {
 	case n.role != Leader:
 		return ErrNotLeader
-	case n.transfer.to != "":
+	case n.transfer.transferee != "":
 		return ErrTransfer
-	case n.log.membersIndex() > n.log.commit:
+	case n.log.membershipIndex() > n.log.commit:
 		return ErrPending
 	case !n.committedInTerm():
 		return ErrNotReady
@@ -42,9 +45,12 @@
 	return nil
 }
 
+// apply returns the membership after a change, or false if the change is invalid: an
+// empty ID, a learner that is already a member, a promotion of a replica that is no
+// learner, or the removal of an unknown replica or of the only voter.
 func (m Membership) apply(c Change) (Membership, bool) {
 	out := Membership{Voters: slices.Clone(m.Voters), Learners: slices.Clone(m.Learners)}
-	v, l := find(out.Voters, c.Member.ID), find(out.Learners, c.Member.ID)
+	v, l := memberIndex(out.Voters, c.Member.ID), memberIndex(out.Learners, c.Member.ID)
 	switch {
 	case c.Kind == AddLearner && v < 0 && l < 0 && c.Member.ID != "":
 		out.Learners = append(out.Learners, c.Member)
@@ -61,14 +67,17 @@
 	return out, true
 }
 
+// committedInTerm reports whether an entry of the current term is committed.
 func (n *Node) committedInTerm() bool {
 	t, ok := n.log.term(n.log.commit)
 	return ok && t == n.term
 }
 
-// Transfer hands leadership to the voter with the newest log, once it has the
-// whole log. Proposals are refused meanwhile. It reports whether a voter is
-// there; the transfer ends without effect after one election timeout.
+// Transfer starts a transfer of the leadership to the connected voter with the newest
+// log. Once that voter has the whole log, it is sent MsgTimeoutNow. Proposals fail with
+// ErrTransfer meanwhile. After ElectionTicks without a new leader the transfer is given
+// up. Transfer returns false if the node is not the leader or if no other voter has
+// replied within ElectionTicks.
 func (n *Node) Transfer() bool {
 	if n.role != Leader {
 		return false
@@ -76,23 +85,24 @@
 	best := ""
 	for _, v := range n.members().Voters {
 		p, ok := n.peers[v.ID]
-		if ok && n.now-p.heard <= uint64(n.cfg.ElectionTicks) && (best == "" || p.match > n.peers[best].match) {
+		if ok && n.now-p.lastContactTick <= uint64(n.cfg.ElectionTicks) && (best == "" || p.match > n.peers[best].match) {
 			best = v.ID
 		}
 	}
 	if best == "" {
 		return false
 	}
-	n.transfer = transfer{to: best, deadline: n.now + uint64(n.cfg.ElectionTicks)}
+	n.transfer = leaderTransfer{transferee: best, deadlineTick: n.now + uint64(n.cfg.ElectionTicks)}
 	n.checkTransfer()
 	return true
 }
 
+// checkTransfer sends MsgTimeoutNow once the transferee has the whole log.
 func (n *Node) checkTransfer() {
 	t := &n.transfer
-	p, ok := n.peers[t.to]
-	if ok && !t.sent && p.match == n.log.last() {
-		t.sent = true
-		n.send(Message{Type: MsgTimeoutNow, To: t.to})
+	p, ok := n.peers[t.transferee]
+	if ok && !t.timeoutNowSent && p.match == n.log.lastIndex() {
+		t.timeoutNowSent = true
+		n.send(Message{Type: MsgTimeoutNow, To: t.transferee})
 	}
 }
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -20,45 +20,46 @@
 	os.Exit(m.Run())
 }
 
-// failer is the part of testing.T and rapid.T that the simulation needs.
-type failer interface {
+// testingT is the common part of testing.T and rapid.T that the simulation uses.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// sim runs replicas over a network that loses, delays, doubles and reorders, on
-// disks that keep only what was synced, and checks the guarantees of the package.
+// sim runs replicas over a network that loses, delays, duplicates and reorders
+// messages. Their disks keep only what was synced. It checks the guarantees of the
+// package.
 type sim struct {
-	t       failer
-	random  func(n int) int
-	ids     []string
-	boxes   map[string]*box
-	network []Message
-	side    map[string]int // messages pass only between replicas on one side
-
-	frozen string // replica whose process is stopped
-	first  int    // FirstTicks of replicas that start from now on
-
-	leaders   map[uint64]string // term -> leader
-	committed []Entry           // by index-2, as first applied anywhere
-	sums      []uint64          // state after the entry of the same position
-	reads     map[uint64]uint64 // context -> entries committed when it began
-	answered  int
-	proposed  uint64
+	t         testingT
+	random    func(n int) int
+	ids       []string
+	replicas  map[string]*replica
+	network   []Message
+	partition map[string]int // replica -> part of the network; messages do not cross parts
+
+	suspended            string // replica whose process does not run for a while, "" if none
+	initialElectionTicks int    // FirstTicks of replicas that start from now on
+
+	leaders        map[uint64]string // term -> leader
+	committed      []Entry           // first applied by any replica; position 0 is index 2
+	checksums      []uint64          // of the state after the entry at the same position
+	reads          map[uint64]uint64 // context -> number of entries committed at the request
+	confirmedReads int
+	lastCommand    uint64
 }
 
-// box is a replica: its disk and, while it runs, its node.
-type box struct {
-	id      string
-	node    *Node
-	hard    HardState
-	snap    Snapshot
-	entries []Entry
-	applied uint64
-	sum     uint64
+// replica is the disk of a replica and, while its process runs, its node.
+type replica struct {
+	id       string
+	node     *Node // nil after a crash
+	hard     HardState
+	snap     Snapshot
+	entries  []Entry
+	applied  uint64
+	checksum uint64
 }
 
-// crash points of the handling of a Ready.
+// crashPoint is the point in the handling of a Ready at which a replica crashes.
 type crashPoint int
 
 const (
@@ -69,9 +70,9 @@
 	afterApply // Advance not called
 )
 
-func newSim(t failer, random func(int) int, n int) *sim {
+func newSim(t testingT, random func(int) int, n int) *sim {
 	s := &sim{
-		t: t, random: random, boxes: map[string]*box{}, side: map[string]int{},
+		t: t, random: random, replicas: map[string]*replica{}, partition: map[string]int{},
 		leaders: map[uint64]string{}, reads: map[uint64]uint64{},
 	}
 	var m Membership
@@ -80,48 +81,48 @@
 		m.Voters = append(m.Voters, Member{ID: s.ids[i], Instance: s.ids[i]})
 	}
 	for _, id := range s.ids {
-		s.boxes[id] = &box{id: id, snap: Bootstrap(m, encodeSum(0)), hard: HardState{Term: 1}}
+		s.replicas[id] = &replica{id: id, snap: Bootstrap(m, encodeChecksum(0)), hard: HardState{Term: 1}}
 		s.start(id)
 	}
 	return s
 }
 
-// add makes an empty replica that waits to be added to the group.
-func (s *sim) add(id string) {
+// addReplica starts an empty replica, which is not yet a member of the group.
+func (s *sim) addReplica(id string) {
 	s.ids = append(s.ids, id)
-	s.boxes[id] = &box{id: id}
+	s.replicas[id] = &replica{id: id}
 	s.start(id)
 }
 
 func (s *sim) start(id string) {
-	b := s.boxes[id]
-	cfg := Config{ID: id, ElectionTicks: 10, FirstTicks: s.first, HeartbeatTicks: 2, MaxAppendBytes: 64, ChunkBytes: 5, Random: s.random}
-	b.node = New(cfg, b.hard, b.snap, slices.Clone(b.entries))
-	b.applied, b.sum = b.snap.Index, decodeSum(b.snap.Data)
+	r := s.replicas[id]
+	cfg := Config{ID: id, ElectionTicks: 10, FirstTicks: s.initialElectionTicks, HeartbeatTicks: 2, MaxAppendBytes: 64, ChunkBytes: 5, Random: s.random}
+	r.node = New(cfg, r.hard, r.snap, slices.Clone(r.entries))
+	r.applied, r.checksum = r.snap.Index, decodeChecksum(r.snap.Data)
 }
 
-func (s *sim) crash(id string) { s.boxes[id].node = nil }
+func (s *sim) crash(id string) { s.replicas[id].node = nil }
 
-func encodeSum(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
+func encodeChecksum(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 
-func decodeSum(b []byte) uint64 {
+func decodeChecksum(b []byte) uint64 {
 	if len(b) < 8 {
 		return 0
 	}
 	return binary.BigEndian.Uint64(b)
 }
 
-// run handles all pending work of a replica, up to a crash point.
-func (s *sim) run(id string, at crashPoint) {
-	b := s.boxes[id]
-	for b.node != nil && b.node.HasReady() {
-		s.checkLeader(b)
-		rd := b.node.Ready()
+// processReady does all pending work of a replica, or crashes it at a crash point.
+func (s *sim) processReady(id string, at crashPoint) {
+	r := s.replicas[id]
+	for r.node != nil && r.node.HasReady() {
+		s.checkLeader(r)
+		rd := r.node.Ready()
 		if at == beforeSync {
 			s.crash(id)
 			return
 		}
-		b.persist(rd)
+		r.persist(rd)
 		if at == afterSync {
 			s.crash(id)
 			return
@@ -131,93 +132,93 @@
 			s.crash(id)
 			return
 		}
-		s.apply(b, rd)
+		s.apply(r, rd)
 		if at == afterApply {
 			s.crash(id)
 			return
 		}
-		b.node.Advance(rd)
+		r.node.Advance(rd)
 	}
 }
 
-func (b *box) persist(rd Ready) {
+func (r *replica) persist(rd Ready) {
 	if rd.Hard != nil {
-		b.hard = *rd.Hard
+		r.hard = *rd.Hard
 	}
 	if rd.Snapshot != nil {
-		b.snap, b.entries = *rd.Snapshot, slices.Clone(b.node.Entries(rd.Snapshot.Index))
+		r.snap, r.entries = *rd.Snapshot, slices.Clone(r.node.Entries(rd.Snapshot.Index))
 	}
 	for _, e := range rd.Entries {
-		if k := len(b.entries); k > 0 {
-			b.entries = b.entries[:e.Index-b.entries[0].Index]
+		if k := len(r.entries); k > 0 {
+			r.entries = r.entries[:e.Index-r.entries[0].Index]
 		}
-		b.entries = append(b.entries, e)
+		r.entries = append(r.entries, e)
 	}
 }
 
-func (s *sim) apply(b *box, rd Ready) {
+func (s *sim) apply(r *replica, rd Ready) {
 	if rd.Snapshot != nil {
-		b.applied, b.sum = rd.Snapshot.Index, decodeSum(rd.Snapshot.Data)
-		s.checkSum(b)
+		r.applied, r.checksum = rd.Snapshot.Index, decodeChecksum(rd.Snapshot.Data)
+		s.checkChecksum(r)
 	}
 	for _, e := range rd.Committed {
-		if e.Index != b.applied+1 {
-			s.t.Fatalf("%s applied entry %d after %d", b.id, e.Index, b.applied)
+		if e.Index != r.applied+1 {
+			s.t.Fatalf("%s applied entry %d after %d", r.id, e.Index, r.applied)
 		}
-		b.applied = e.Index
-		b.sum = crc64.Update(b.sum, crc64.MakeTable(crc64.ECMA), append([]byte{byte(e.Kind)}, e.Data...))
-		s.checkCommitted(b, e)
-	}
-	for _, r := range rd.Reads {
-		s.answered++
-		if r.Index < s.reads[r.Context]+1 {
-			s.t.Fatalf("read at %d began after entry %d was committed", r.Index, s.reads[r.Context]+1)
+		r.applied = e.Index
+		r.checksum = crc64.Update(r.checksum, crc64.MakeTable(crc64.ECMA), append([]byte{byte(e.Kind)}, e.Data...))
+		s.checkCommitted(r, e)
+	}
+	for _, read := range rd.Reads {
+		s.confirmedReads++
+		if read.Index < s.reads[read.Context]+1 {
+			s.t.Fatalf("read at index %d was requested after entry %d was committed", read.Index, s.reads[read.Context]+1)
 		}
 	}
 }
 
-// checkCommitted guards against two replicas that apply different entries.
-func (s *sim) checkCommitted(b *box, e Entry) {
+// checkCommitted fails if two replicas have applied different entries at an index.
+func (s *sim) checkCommitted(r *replica, e Entry) {
 	at := int(e.Index) - 2 // the bootstrap snapshot is index 1
 	if at == len(s.committed) {
-		s.committed, s.sums = append(s.committed, e), append(s.sums, b.sum)
+		s.committed, s.checksums = append(s.committed, e), append(s.checksums, r.checksum)
 		return
 	}
 	if at > len(s.committed) || s.committed[at].Term != e.Term || !bytes.Equal(s.committed[at].Data, e.Data) {
-		s.t.Fatalf("%s applied a different entry %d", b.id, e.Index)
+		s.t.Fatalf("%s applied a different entry %d", r.id, e.Index)
 	}
-	s.checkSum(b)
+	s.checkChecksum(r)
 }
 
-// checkSum guards against a state that differs at the same index, as after a
-// wrong snapshot.
-func (s *sim) checkSum(b *box) {
-	if b.applied >= 2 && s.sums[b.applied-2] != b.sum {
-		s.t.Fatalf("%s has a different state at entry %d", b.id, b.applied)
+// checkChecksum fails if the state differs from that of another replica at the same
+// index, as after a wrong snapshot.
+func (s *sim) checkChecksum(r *replica) {
+	if r.applied >= 2 && s.checksums[r.applied-2] != r.checksum {
+		s.t.Fatalf("%s has a different state at entry %d", r.id, r.applied)
 	}
 }
 
-// checkLeader guards against two leaders in one term.
-func (s *sim) checkLeader(b *box) {
-	if b.node.Role() != Leader {
+// checkLeader fails if a term has two leaders.
+func (s *sim) checkLeader(r *replica) {
+	if r.node.Role() != Leader {
 		return
 	}
-	if l, ok := s.leaders[b.node.Term()]; ok && l != b.id {
-		s.t.Fatalf("term %d has leaders %s and %s", b.node.Term(), l, b.id)
+	if l, ok := s.leaders[r.node.Term()]; ok && l != r.id {
+		s.t.Fatalf("term %d has leaders %s and %s", r.node.Term(), l, r.id)
 	}
-	s.leaders[b.node.Term()] = b.id
+	s.leaders[r.node.Term()] = r.id
 }
 
-// checkLogs guards against logs that differ below an index with an equal term.
+// checkLogs fails if two logs differ at or below an index at which their terms agree.
 func (s *sim) checkLogs() {
 	for i, x := range s.ids {
 		for _, y := range s.ids[i+1:] {
-			s.checkPair(s.boxes[x], s.boxes[y])
+			s.checkPair(s.replicas[x], s.replicas[y])
 		}
 	}
 }
 
-func (s *sim) checkPair(x, y *box) {
+func (s *sim) checkPair(x, y *replica) {
 	equal := false
 	for i := len(x.entries) - 1; i >= 0; i-- {
 		e := x.entries[i]
@@ -233,96 +234,98 @@
 	}
 }
 
-// deliver hands over the message at a position of the network.
-func (s *sim) deliver(i int, keep bool) {
+// deliver passes the message at a position of the network to its receiver. Duplicate
+// leaves a copy in the network.
+func (s *sim) deliver(i int, duplicate bool) {
 	m := s.network[i]
-	if !keep {
+	if !duplicate {
 		s.network = slices.Delete(s.network, i, i+1)
 	}
-	b := s.boxes[m.To]
-	if b == nil || b.node == nil || m.To == s.frozen || s.side[m.From] != s.side[m.To] {
+	r := s.replicas[m.To]
+	if r == nil || r.node == nil || m.To == s.suspended || s.partition[m.From] != s.partition[m.To] {
 		return
 	}
 	decoded, err := DecodeMessage(EncodeMessage(m))
 	if err != nil {
 		s.t.Fatalf("message %+v: %v", m, err)
 	}
-	b.node.Step(decoded)
+	r.node.Step(decoded)
 }
 
 func (s *sim) propose(id string) bool {
-	b := s.boxes[id]
-	if b.node == nil {
+	r := s.replicas[id]
+	if r.node == nil {
 		return false
 	}
-	s.proposed++
-	_, _, err := b.node.Propose(binary.BigEndian.AppendUint64(nil, s.proposed))
+	s.lastCommand++
+	_, _, err := r.node.Propose(binary.BigEndian.AppendUint64(nil, s.lastCommand))
 	return err == nil
 }
 
 func (s *sim) read(id string) {
-	b := s.boxes[id]
-	if b.node == nil {
+	r := s.replicas[id]
+	if r.node == nil {
 		return
 	}
 	ctx := uint64(len(s.reads) + 1)
 	s.reads[ctx] = uint64(len(s.committed))
-	_ = b.node.ReadIndex(ctx)
+	_ = r.node.ReadIndex(ctx)
 }
 
-// compact takes a snapshot of a replica's applied state.
+// compact makes a replica take a snapshot of its applied state and compact its log.
 func (s *sim) compact(id string, keepBytes int) {
-	b := s.boxes[id]
-	if b.node == nil {
+	r := s.replicas[id]
+	if r.node == nil {
 		return
 	}
-	snap, ok := b.node.SnapshotAt(b.applied, encodeSum(b.sum))
-	if !ok || snap.Index <= b.snap.Index {
+	snap, ok := r.node.SnapshotAt(r.applied, encodeChecksum(r.checksum))
+	if !ok || snap.Index <= r.snap.Index {
 		return
 	}
-	b.snap, b.entries = snap, slices.Clone(b.node.Entries(snap.Index))
-	b.node.Compact(snap.Index, snap.Data, keepBytes)
+	r.snap, r.entries = snap, slices.Clone(r.node.Entries(snap.Index))
+	r.node.Compact(snap.Index, snap.Data, keepBytes)
 }
 
-// settle runs all replicas over a reliable network for some ticks.
-func (s *sim) settle(ticks int) {
+// runTicks runs all replicas for some ticks and delivers all messages in order, except
+// between parts of the network.
+func (s *sim) runTicks(ticks int) {
 	for range ticks {
 		for _, id := range s.ids {
-			if b := s.boxes[id]; b.node != nil && id != s.frozen {
-				b.node.Tick()
-				s.run(id, noCrash)
+			if r := s.replicas[id]; r.node != nil && id != s.suspended {
+				r.node.Tick()
+				s.processReady(id, noCrash)
 			}
 		}
 		for range 20 {
 			for k := len(s.network); k > 0; k-- {
 				to := s.network[0].To
 				s.deliver(0, false)
-				if b := s.boxes[to]; b != nil && to != s.frozen {
-					s.run(to, noCrash)
+				if r := s.replicas[to]; r != nil && to != s.suspended {
+					s.processReady(to, noCrash)
 				}
 			}
 		}
 	}
 }
 
-// leader returns the leader with the highest term, or "".
+// leader returns the leader with the highest term, or "" if none leads.
 func (s *sim) leader() string {
 	best := ""
 	for _, id := range s.ids {
-		b := s.boxes[id]
-		if b.node != nil && b.node.Role() == Leader && (best == "" || b.node.Term() > s.boxes[best].node.Term()) {
+		r := s.replicas[id]
+		if r.node != nil && r.node.Role() == Leader && (best == "" || r.node.Term() > s.replicas[best].node.Term()) {
 			best = id
 		}
 	}
 	return best
 }
 
-// waitLeader settles until there is a leader.
+// waitLeader runs until a leader has committed an entry of its term.
 func (s *sim) waitLeader() string {
 	s.t.Helper()
 	for range 40 {
-		s.settle(10)
-		if l := s.leader(); l != "" && s.boxes[l].node.committedInTerm() {
+		s.runTicks(10)
+		if l := s.leader(); l != "" && s.replicas[l].node.committedInTerm() {
 			return l
 		}
 	}
@@ -333,41 +336,42 @@
 func (s *sim) describe() string {
 	text := ""
 	for _, id := range s.ids {
-		if n := s.boxes[id].node; n != nil {
+		if n := s.replicas[id].node; n != nil {
 			text += fmt.Sprintf("\n%s: role %d leader %q term %d vote %q last %d commit %d members %v",
-				id, n.role, n.leader, n.term, n.vote, n.log.last(), n.log.commit, n.Members())
+				id, n.role, n.leader, n.term, n.vote, n.log.lastIndex(), n.log.commit, n.Members())
 		}
 	}
 	return text
 }
 
-// commit proposes n commands at the leader and checks that they are committed.
-func (s *sim) commit(n int) {
+// commitCommands proposes n commands to the leader and checks that they are committed.
+func (s *sim) commitCommands(n int) {
 	s.t.Helper()
 	l := s.waitLeader()
 	before := len(s.committed)
 	for range n {
 		s.propose(l)
-		s.run(l, noCrash)
+		s.processReady(l, noCrash)
 	}
-	s.settle(10)
+	s.runTicks(10)
 	if len(s.committed) < before+n {
 		s.t.Fatalf("%d of %d commands committed", len(s.committed)-before, n)
 	}
 }
 
-// checkAll checks that every running member has applied everything committed.
-func (s *sim) checkAll() {
+// checkConverged checks that every running member has applied all committed entries and
+// that the logs agree.
+func (s *sim) checkConverged() {
 	s.t.Helper()
-	s.settle(60)
-	m := s.boxes[s.waitLeader()].node.Members()
+	s.runTicks(60)
+	m := s.replicas[s.waitLeader()].node.Members()
 	for _, id := range s.ids {
-		b := s.boxes[id]
-		if b.node != nil && m.Has(id) && int(b.applied) != len(s.committed)+1 {
-			s.t.Fatalf("%s applied up to %d, committed are %d", id, b.applied, len(s.committed)+1)
+		r := s.replicas[id]
+		if r.node != nil && m.Has(id) && int(r.applied) != len(s.committed)+1 {
+			s.t.Fatalf("%s has applied up to entry %d, but the commit index is %d", id, r.applied, len(s.committed)+1)
 		}
 	}
 	s.checkLogs()
 }
 
-var _ failer = (*testing.T)(nil)
+var _ testingT = (*testing.T)(nil)
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -6,14 +6,14 @@
 	"github.com/pkg/errors"
 )
 
-// EntryKind tells how an entry is applied.
+// EntryKind selects the content of an entry.
 type EntryKind uint8
 
 // Kinds of entries.
 const (
-	EntryEmpty   EntryKind = 0 // marks the start of a leader's term
-	EntryCommand EntryKind = 1 // data for the state machine
-	EntryMembers EntryKind = 2 // an encoded Membership, in force once appended
+	EntryEmpty   EntryKind = 0 // no data; appended by a new leader at the start of its term
+	EntryCommand EntryKind = 1 // a command for the state machine
+	EntryMembers EntryKind = 2 // an encoded Membership, in force as soon as it is appended
 )
 
 // Entry is one record of the log.
@@ -24,16 +24,17 @@
 	Data  []byte
 }
 
-// HardState must be durable before messages of the same Ready are sent.
+// HardState is the term and the vote of a node. It must be durable before the
+// messages of the same Ready are sent.
 type HardState struct {
 	Term uint64
-	Vote string
+	Vote string // identity of the candidate voted for in Term, "" if none
 }
 
-// Member is one replica: the identity of its disk and the instance it runs on.
+// Member is one replica of the group.
 type Member struct {
-	ID       string
-	Instance string
+	ID       string // identity of the replica, which belongs to its disk
+	Instance string // name of the instance on which it runs
 }
 
 // Membership lists the replicas. Learners receive the log but do not vote.
@@ -42,19 +43,20 @@
 	Learners []Member
 }
 
-// Voter reports whether the identity is a voter.
-func (m Membership) Voter(id string) bool { return find(m.Voters, id) >= 0 }
+// Voter reports whether the replica with the identity is a voter.
+func (m Membership) Voter(id string) bool { return memberIndex(m.Voters, id) >= 0 }
 
-// Learner reports whether the identity is a learner.
-func (m Membership) Learner(id string) bool { return find(m.Learners, id) >= 0 }
+// Learner reports whether the replica with the identity is a learner.
+func (m Membership) Learner(id string) bool { return memberIndex(m.Learners, id) >= 0 }
 
-// Has reports whether the identity is a voter or a learner.
+// Has reports whether the replica with the identity is a voter or a learner.
 func (m Membership) Has(id string) bool { return m.Voter(id) || m.Learner(id) }
 
-// Instance returns the instance of a member, or "".
+// Instance returns the name of the instance on which a member runs, or "" if
+// there is no such member.
 func (m Membership) Instance(id string) string {
 	for _, list := range [][]Member{m.Voters, m.Learners} {
-		if i := find(list, id); i >= 0 {
+		if i := memberIndex(list, id); i >= 0 {
 			return list[i].Instance
 		}
 	}
@@ -63,27 +65,32 @@
 
 func (m Membership) quorum() int { return len(m.Voters)/2 + 1 }
 
-func find(list []Member, id string) int {
+// memberIndex returns the position of a member in the list, or -1.
+func memberIndex(list []Member, id string) int {
 	return slices.IndexFunc(list, func(m Member) bool { return m.ID == id })
 }
 
-// Snapshot replaces all entries up to Index.
+// Snapshot is the state machine and the membership after the entry at Index. It
+// replaces all entries up to that one.
 type Snapshot struct {
 	Index   uint64
-	Term    uint64
+	Term    uint64 // term of the entry at Index
 	Members Membership
-	Data    []byte
+	Data    []byte // encoded state machine
 }
 
-// Bootstrap returns the snapshot from which a new group starts.
+// Bootstrap returns the snapshot from which all members of a new group start. It
+// has index 1 and term 1; data is the encoded initial state machine.
 func Bootstrap(m Membership, data []byte) Snapshot {
 	return Snapshot{Index: 1, Term: 1, Members: m, Data: data}
 }
 
-// MessageType selects the meaning of a message.
+// MessageType is the type of a message.
 type MessageType uint8
 
-// Message types.
+// Message types. Each reply belongs to the request before it. MsgAppendReply also
+// replies to a MsgSnapshot that is complete or not needed, and rejects messages from a
+// leader of an earlier term.
 const (
 	MsgPreVote MessageType = iota + 1
 	MsgPreVoteReply
@@ -95,32 +102,37 @@
 	MsgHeartbeatReply
 	MsgSnapshot
 	MsgSnapshotReply
-	MsgTimeoutNow
-	msgEnd
+	MsgTimeoutNow // campaign at once: the leader transfers its leadership
+	msgEnd        // one above the highest valid type
 )
 
-// Message travels between replicas. Unused fields are zero.
+// Message is a message between replicas. Fields that its type does not use are zero.
+// Index is, by type:
+//   - votes: the last index of the candidate's log
+//   - MsgAppend: the index before Entries
+//   - MsgAppendReply: the matched or rejected index
+//   - MsgSnapshot, MsgSnapshotReply: the index of the snapshot
 type Message struct {
 	Type    MessageType
 	From    string
 	To      string
 	Term    uint64
-	Index   uint64 // last index (votes), previous index (append), matched or refused index (replies), snapshot index
-	LogTerm uint64 // term of the entry at Index, in a refusal of the entry at Hint
-	Commit  uint64
-	Reject  bool
-	Hint    uint64 // refusal: newest index at which the logs may agree
-	Force   bool   // vote requested by the leader itself (transfer)
-	Reply   bool   // heartbeat: an answer is wanted
-	Read    uint64 // sequence number of the reads that a heartbeat confirms
+	Index   uint64 // see above
+	LogTerm uint64 // term of the entry at Index; in a rejected append of the entry at Hint
+	Commit  uint64 // append, heartbeat: commit index of the leader; see sendHeartbeats
+	Reject  bool   // replies: the vote or append is rejected
+	Hint    uint64 // rejected append: newest index at which the logs may agree
+	Force   bool   // vote: part of a leadership transfer, so a known leader is no reason to ignore it
+	Reply   bool   // heartbeat: a reply is requested
+	Read    uint64 // heartbeats: newest sequence number of the reads that a reply confirms
 	Entries []Entry
-	Offset  uint64 // snapshot: position of Chunk, reply: bytes received
-	Total   uint64 // snapshot: length of the whole data
-	Chunk   []byte
-	Members Membership
+	Offset  uint64     // snapshot: position of Chunk in bytes; reply: bytes received
+	Total   uint64     // snapshot: length of the whole data in bytes
+	Chunk   []byte     // snapshot: part of its data
+	Members Membership // snapshot: membership at Index
 }
 
-// Role is the role of a node.
+// Role is the role of a node in its current term.
 type Role uint8
 
 // Roles.
@@ -131,42 +143,47 @@
 	Leader
 )
 
-// Read is a confirmed read: the state machine may answer once it has applied Index.
+// Read is a confirmed read. It may be served from the state machine as soon as the
+// entry at Index has been applied.
 type Read struct {
-	Context uint64
+	Context uint64 // as passed to ReadIndex
 	Index   uint64
 }
 
-// Ready is the work that the caller must do, in the order of the package comment.
+// Ready is the work that the caller must do, in the order that the package comment
+// gives.
 type Ready struct {
 	Hard      *HardState // nil if unchanged
 	Snapshot  *Snapshot  // received from the leader; nil if none
-	Entries   []Entry    // to append; replaces stored entries from Entries[0].Index on
-	Messages  []Message
-	Committed []Entry
-	Reads     []Read
+	Entries   []Entry    // to append to the stored log; replace its entries from Entries[0].Index on
+	Messages  []Message  // to send
+	Committed []Entry    // to apply to the state machine
+	Reads     []Read     // reads that a quorum has confirmed
 }
 
 // Config sets the identity and the timing of a node.
 type Config struct {
+	// ID is the identity of the replica.
 	ID string
-	// ElectionTicks is the shortest election timeout. The timeout is random
-	// below twice this value.
+	// ElectionTicks is the shortest election timeout in ticks. Each timeout is
+	// random: at least this value, less than twice this value.
 	ElectionTicks int
-	// FirstTicks replaces ElectionTicks until the node has known a leader since its
-	// start, so that a group that was stopped as a whole is soon led again. 0 = the same.
+	// FirstTicks replaces ElectionTicks for election timeouts until the node knows a
+	// leader for the first time since its start, so that a group whose replicas were
+	// all stopped soon elects a leader. 0 means ElectionTicks.
 	FirstTicks int
-	// HeartbeatTicks is the interval of the leader's heartbeats.
+	// HeartbeatTicks is the interval of the leader's heartbeats in ticks.
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the entries of one message; one entry always fits.
+	// MaxAppendBytes bounds the entry data of one message in bytes. A single larger
+	// entry is sent alone.
 	MaxAppendBytes int
-	// ChunkBytes bounds the snapshot data of one message.
+	// ChunkBytes bounds the snapshot data of one message in bytes.
 	ChunkBytes int
-	// Random returns a number in [0, n).
+	// Random returns a random number in [0, n). It sets election timeouts.
 	Random func(n int) int
 }
 
-// Errors of proposals.
+// Errors of proposals, membership changes and reads.
 var (
 	ErrNotLeader = errors.New("consensus: not the leader")
 	ErrTransfer  = errors.New("consensus: leadership is being transferred")
