--- a/internal/fleetstate/bench_test.go
+++ b/internal/fleetstate/bench_test.go
@@ -8,7 +8,7 @@
 	"nutmegrouter/internal/api"
 )
 
-// sizes are today's fleets, the design scale, and ten times that.
+// sizes are those of current fleets, of the design scale and of ten times that.
 var sizes = []struct{ workspaces, targets int }{{16, 16}, {430, 1200}, {4300, 12000}}
 
 func largeConfig(workspaces, targets int) *fleetconfig.Config {
@@ -28,6 +28,7 @@
 	return c
 }
 
+// forSizes runs a benchmark on a state with a document of each size.
 func forSizes(b *testing.B, f func(b *testing.B, s *State)) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d/targets=%d", size.workspaces, size.targets), func(b *testing.B) {
@@ -43,8 +44,7 @@
 	}
 }
 
-// BenchmarkApplyDocument applies a whole document, BenchmarkApplyOut one data
-// centre out or back.
+// BenchmarkApplyDocument measures the submission of a whole document.
 func BenchmarkApplyDocument(b *testing.B) {
 	forSizes(b, func(b *testing.B, s *State) {
 		sub := Submit{Submission: api.Submission{Config: s.config}}
@@ -60,6 +60,7 @@
 	})
 }
 
+// BenchmarkApplyOut measures a change that takes one data centre out of service or back.
 func BenchmarkApplyOut(b *testing.B) {
 	forSizes(b, func(b *testing.B, s *State) {
 		for b.Loop() {
@@ -84,8 +85,8 @@
 	})
 }
 
-// BenchmarkSnapshotClaims takes a snapshot with as many claims and bodies as may
-// be stored.
+// BenchmarkSnapshotClaims measures a snapshot with the maximum number of claims and the
+// maximum size of bodies.
 func BenchmarkSnapshotClaims(b *testing.B) {
 	s := New()
 	body := make([]byte, maxOutcomeBytes)
--- a/internal/fleetstate/moves.go
+++ b/internal/fleetstate/moves.go
@@ -6,74 +6,76 @@
 	"nutmegrouter/fleetconfig"
 )
 
-// MoveResult tells how a step of a planned move was decided.
+// MoveResult is the result of a step of a planned move.
 type MoveResult string
 
 // Results of the steps of a move.
 const (
-	MoveNone    MoveResult = ""        // nothing to do: not due, decided before, or not in the document
-	MoveOut     MoveResult = "out"     // the data centre is out
-	MoveSkipped MoveResult = "skipped" // not taken out: a pool would have no target left
-	MoveBack    MoveResult = "back"    // the data centre is back
-	MoveEnded   MoveResult = "ended"   // the time is over; an operator decides over the data centre
+	MoveNone    MoveResult = ""        // nothing done: the step is not due or already decided, or the move is not in the document
+	MoveOut     MoveResult = "out"     // the data centre is out of service
+	MoveSkipped MoveResult = "skipped" // not taken out: a pool would have no target left in service
+	MoveBack    MoveResult = "back"    // the data centre is back in service
+	MoveEnded   MoveResult = "ended"   // the move is over; the data centre is not out of service because of it and stays as it is
 )
 
-// MoveID identifies a move. Another out time makes another move.
+// MoveID returns the identity of a move. A move with another out time is another move.
 func MoveID(m fleetconfig.Move) string { return m.Name + "|" + m.DataCentre + "|" + m.OutAt }
 
-// Due returns the step that is due for a move at a time, if any.
+// Due returns the steps of planned moves that are due at a Unix time in milliseconds, at
+// most one per move.
 func (s *State) Due(unixMs int64) []MoveStep {
 	if s.config == nil {
 		return nil
 	}
-	var due []MoveStep
+	var steps []MoveStep
 	for _, m := range s.config.Moves {
 		id := MoveID(m)
-		switch s.next(m, unixMs) {
+		switch s.dueStep(m, unixMs) {
 		case MoveOut:
-			due = append(due, MoveStep{Move: id, Out: true})
+			steps = append(steps, MoveStep{Move: id, Out: true})
 		case MoveBack:
-			due = append(due, MoveStep{Move: id})
+			steps = append(steps, MoveStep{Move: id})
 		}
 	}
-	return due
+	return steps
 }
 
-// next returns MoveOut or MoveBack if that step of the move is due, else MoveNone.
-func (s *State) next(m fleetconfig.Move, unixMs int64) MoveResult {
+// dueStep returns MoveOut or MoveBack if that step of the move is due, else MoveNone.
+func (s *State) dueStep(m fleetconfig.Move, unixMs int64) MoveResult {
 	out, ok := parseMs(m.OutAt)
 	if !ok || unixMs < out {
 		return MoveNone
 	}
 	back, hasBack := parseMs(m.BackAt)
-	over := hasBack && unixMs >= back
+	backDue := hasBack && unixMs >= back
 	switch s.moves[MoveID(m)] {
 	case MoveNone:
-		if over {
+		if backDue {
 			return MoveBack
 		}
 		return MoveOut
 	case MoveOut, MoveSkipped:
-		if over {
+		if backDue {
 			return MoveBack
 		}
 	}
 	return MoveNone
 }
 
+// parseMs parses an RFC 3339 time and returns it as Unix time in milliseconds.
 func parseMs(text string) (int64, bool) {
 	t, err := time.Parse(time.RFC3339, text)
 	return t.UnixMilli(), err == nil
 }
 
-// move applies a step if it is due by the time of the log.
-func (s *State) move(step *MoveStep) MoveResult {
+// applyMove applies a step if it is due at the time of the newest log entry.
+func (s *State) applyMove(step *MoveStep) MoveResult {
 	m, ok := s.findMove(step.Move)
 	if !ok {
 		return MoveNone
 	}
-	want := s.next(m, s.nowMs)
-	if want == MoveNone || (want == MoveOut) != step.Out {
+	due := s.dueStep(m, s.nowMs)
+	if due == MoveNone || (due == MoveOut) != step.Out {
 		return MoveNone
 	}
 	r := s.moveBack(m, step.Move)
@@ -96,41 +98,43 @@
 	return fleetconfig.Move{}, false
 }
 
+// moveOut takes the data centre out of service unless a pool would lose its last target.
 func (s *State) moveOut(m fleetconfig.Move, id string) MoveResult {
-	if _, out := s.out[m.DataCentre]; out {
-		return MoveOut // by an operator, whose change stays in force after the move
+	if _, out := s.outOfService[m.DataCentre]; out {
+		return MoveOut // by an operator or another move, whose change stays in force after this move
 	}
-	if _, left := s.EmptyPool(m.DataCentre); !left {
+	if _, ok := s.EmptyPool(m.DataCentre); !ok {
 		return MoveSkipped
 	}
-	s.out[m.DataCentre] = id
-	s.accept("move:"+id+":out", "planned move "+m.Name, m.DataCentre+" out of service")
+	s.outOfService[m.DataCentre] = id
+	s.addRevision("move:"+id+":out", "planned move "+m.Name, m.DataCentre+" out of service")
 	return MoveOut
 }
 
-// moveBack brings the data centre back only if this move has taken it out.
+// moveBack brings the data centre back into service if this move has taken it out.
 func (s *State) moveBack(m fleetconfig.Move, id string) MoveResult {
-	if s.out[m.DataCentre] != id {
+	if s.outOfService[m.DataCentre] != id {
 		return MoveEnded
 	}
-	delete(s.out, m.DataCentre)
-	s.accept("move:"+id+":back", "planned move "+m.Name, m.DataCentre+" back in service")
+	delete(s.outOfService, m.DataCentre)
+	s.addRevision("move:"+id+":back", "planned move "+m.Name, m.DataCentre+" back in service")
 	return MoveBack
 }
 
-// EmptyPool names a pool that would lose its last target in service without the
-// data centre. Left reports that there is none.
-func (s *State) EmptyPool(dc string) (pool string, left bool) {
-	remain, lost := map[string]bool{}, map[string]bool{}
+// EmptyPool returns the name of a pool that would lose its last target in service without
+// the data centre, and false. It returns true if there is no such pool. A document must
+// have been accepted.
+func (s *State) EmptyPool(dc string) (pool string, ok bool) {
+	retained, affected := map[string]bool{}, map[string]bool{}
 	for _, t := range s.config.Targets {
 		if t.DataCentre == dc {
-			lost[t.Pool] = true
-		} else if _, out := s.out[t.DataCentre]; !out {
-			remain[t.Pool] = true
+			affected[t.Pool] = true
+		} else if _, out := s.outOfService[t.DataCentre]; !out {
+			retained[t.Pool] = true
 		}
 	}
 	for _, p := range s.config.Pools {
-		if lost[p.Name] && !remain[p.Name] {
+		if affected[p.Name] && !retained[p.Name] {
 			return p.Name, false
 		}
 	}
--- a/internal/fleetstate/snapshot.go
+++ b/internal/fleetstate/snapshot.go
@@ -11,12 +11,12 @@
 	"nutmegrouter/internal/api"
 )
 
-// format is the version of the snapshot's form.
-const format = 1
+// snapshotFormat is the version of the snapshot format.
+const snapshotFormat = 1
 
-// image is the form of a snapshot. Lists are in a fixed order and maps are
-// encoded with sorted keys, so that equal states give equal bytes.
-type image struct {
+// snapshotData is the content of a snapshot, encoded as JSON. Lists have a fixed order
+// and maps are encoded with sorted keys, so that equal states give equal bytes.
+type snapshotData struct {
 	Format   int                   `json:"format"`
 	NowMs    int64                 `json:"now_ms"`
 	Revision uint64                `json:"revision"`
@@ -28,59 +28,61 @@
 	Changes  []storedChange        `json:"changes,omitempty"`
 	History  []api.HistoryEntry    `json:"history,omitempty"`
 	Claims   []*claim              `json:"claims,omitempty"`
-	Epochs   []*epochs             `json:"epochs,omitempty"`
+	Epochs   []*poolEpochs         `json:"epochs,omitempty"`
 }
 
+// storedChange is the result of a submitted change.
 type storedChange struct {
 	ID     string           `json:"id"`
 	Result api.SubmitResult `json:"result"`
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
-	im := image{
-		Format: format, NowMs: s.nowMs, Revision: s.revision, Config: s.config,
+	data := snapshotData{
+		Format: snapshotFormat, NowMs: s.nowMs, Revision: s.revision, Config: s.config,
 		Version: s.version, Document: s.document,
-		Out: s.out, Moves: s.moves, History: s.history,
+		Out: s.outOfService, Moves: s.moves, History: s.history,
 	}
-	for _, id := range s.order {
-		im.Changes = append(im.Changes, storedChange{id, s.changes[id]})
+	for _, id := range s.changeOrder {
+		data.Changes = append(data.Changes, storedChange{id, s.changes[id]})
 	}
-	im.Claims = s.claims.order
+	data.Claims = s.claims.expiryOrder
 	for _, pool := range slices.Sorted(maps.Keys(s.epochs)) {
-		im.Epochs = append(im.Epochs, s.epochs[pool])
+		data.Epochs = append(data.Epochs, s.epochs[pool])
 	}
-	b, err := json.Marshal(im)
+	b, err := json.Marshal(data)
 	return b, errors.WithMessage(err, "fleetstate: encode snapshot")
 }
 
-// Restore returns the state that a snapshot holds. No bytes give a new state.
+// Restore returns the state of an encoded snapshot, or a new state if b is empty. It fails
+// if the snapshot is malformed or has another format version.
 func Restore(b []byte) (*State, error) {
 	s := New()
 	if len(b) == 0 {
 		return s, nil
 	}
-	var im image
-	if err := json.Unmarshal(b, &im); err != nil {
+	var data snapshotData
+	if err := json.Unmarshal(b, &data); err != nil {
 		return nil, errors.WithMessage(err, "fleetstate: decode snapshot")
 	}
-	if im.Format != format {
-		return nil, errors.Errorf("fleetstate: snapshot has format %d, this program reads %d", im.Format, format)
+	if data.Format != snapshotFormat {
+		return nil, errors.Errorf("fleetstate: snapshot has format %d, this program reads %d", data.Format, snapshotFormat)
 	}
-	s.nowMs, s.revision, s.config, s.history = im.NowMs, im.Revision, im.Config, im.History
-	s.version, s.document = im.Version, im.Document
-	maps.Copy(s.out, im.Out)
-	maps.Copy(s.moves, im.Moves)
-	for _, c := range im.Changes {
+	s.nowMs, s.revision, s.config, s.history = data.NowMs, data.Revision, data.Config, data.History
+	s.version, s.document = data.Version, data.Document
+	maps.Copy(s.outOfService, data.Out)
+	maps.Copy(s.moves, data.Moves)
+	for _, c := range data.Changes {
 		s.changes[c.ID] = c.Result
-		s.order = append(s.order, c.ID)
+		s.changeOrder = append(s.changeOrder, c.ID)
 	}
-	for _, c := range im.Claims {
+	for _, c := range data.Claims {
 		s.claims.byKey[c.Key] = c
-		s.claims.order = append(s.claims.order, c)
-		s.claims.bodies += c.bodyBytes()
+		s.claims.expiryOrder = append(s.claims.expiryOrder, c)
+		s.claims.storedBodyBytes += c.bodyBytes()
 	}
-	for _, e := range im.Epochs {
+	for _, e := range data.Epochs {
 		s.epochs[e.Pool] = e
 	}
 	s.rebuildView()
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -7,41 +7,42 @@
 	"nutmegrouter/internal/api"
 )
 
-// maxChanges bounds the change-id table and the history, each in entries. At
-// 8,300 changes a day it covers resends for almost two days.
-const maxChanges = 16384
+// maxStoredChanges bounds the results by change id and the history, each in entries. At
+// 8,300 changes a day they cover almost two days, in which a change may be resent.
+const maxStoredChanges = 16384
 
-// State is the state machine. The zero value is not usable; see New.
+// State is the state machine. Use New or Restore; the zero value is not usable. It is
+// not safe for concurrent use.
 type State struct {
-	nowMs    int64
-	revision uint64
-	config   *fleetconfig.Config
-	version  uint64 // of the document
-	document []byte
-	out      map[string]string     // data centre -> change id or move that took it out
-	moves    map[string]MoveResult // steps already decided, by move identity
-	changes  map[string]api.SubmitResult
-	order    []string // change ids, oldest first
-	history  []api.HistoryEntry
-	claims   claims
-	epochs   map[string]*epochs
-	view     *api.View
+	nowMs        int64 // newest time of an entry, Unix time in milliseconds
+	revision     uint64
+	config       *fleetconfig.Config
+	version      uint64 // of the newest document submitted without a base
+	document     []byte
+	outOfService map[string]string     // data centre -> change id or move identity that took it out
+	moves        map[string]MoveResult // results of the last decided steps by move identity
+	changes      map[string]api.SubmitResult
+	changeOrder  []string // change ids, oldest first
+	history      []api.HistoryEntry
+	claims       claims
+	epochs       map[string]*poolEpochs
+	view         *api.View
 }
 
-// New returns the state before the first command.
+// New returns the state before the first entry of the log.
 func New() *State {
 	return &State{
-		out:     map[string]string{},
-		moves:   map[string]MoveResult{},
-		changes: map[string]api.SubmitResult{},
-		claims:  newClaims(),
-		epochs:  map[string]*epochs{},
-		view:    &api.View{},
+		outOfService: map[string]string{},
+		moves:        map[string]MoveResult{},
+		changes:      map[string]api.SubmitResult{},
+		claims:       newClaims(),
+		epochs:       map[string]*poolEpochs{},
+		view:         &api.View{},
 	}
 }
 
-// Apply applies one entry of the log. An entry that cannot be decoded changes
-// nothing, on every replica alike.
+// Apply applies one entry of the log and returns its result. An entry that cannot be
+// decoded gives a result with Error and changes nothing, on every replica alike.
 func (s *State) Apply(entry []byte) Result {
 	c, err := Decode(entry)
 	if err != nil {
@@ -54,30 +55,32 @@
 		r := s.submit(c.Submit)
 		return Result{Submit: &r}
 	case c.Move != nil:
-		return Result{Move: s.move(c.Move)}
+		return Result{Move: s.applyMove(c.Move)}
 	case c.Claim != nil:
 		return s.claims.claim(c.Claim, s.nowMs)
 	case c.Settle != nil:
 		return s.claims.settle(c.Settle)
 	case c.Epoch != nil:
-		return Result{Epoch: s.drawEpoch(c.Epoch.Pool, c.ID)}
+		return Result{Epoch: s.issueEpoch(c.Epoch.Pool, c.ID)}
 	}
 	return Result{Error: "fleetstate: command is empty"}
 }
 
-// View returns the view of the newest revision. It is immutable.
+// View returns the view of the newest revision. It must not be modified; Apply replaces
+// it.
 func (s *State) View() *api.View { return s.view }
 
-// Revision returns the newest revision.
+// Revision returns the number of the newest revision, or 0 if there is none.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Change returns the stored result of a change id.
+// Change returns the stored result of a change id, or false if there is none.
 func (s *State) Change(id string) (api.SubmitResult, bool) {
 	r, ok := s.changes[id]
 	return r, ok
 }
 
-// History returns up to limit changes, newest first.
+// History returns up to limit revisions, newest first, or all stored ones if limit is
+// not positive.
 func (s *State) History(limit int) []api.HistoryEntry {
 	if limit <= 0 || limit > len(s.history) {
 		limit = len(s.history)
@@ -87,39 +90,43 @@
 	return out
 }
 
+// rebuildView replaces the view by one of the current state.
 func (s *State) rebuildView() {
 	v := &api.View{Revision: s.revision, Config: s.config, Version: s.version, Document: s.document}
-	if len(s.out) > 0 {
-		v.Out = make(map[string]bool, len(s.out))
-		for dc := range s.out {
+	if len(s.outOfService) > 0 {
+		v.Out = make(map[string]bool, len(s.outOfService))
+		for dc := range s.outOfService {
 			v.Out[dc] = true
 		}
 	}
 	s.view = v
 }
 
-// epochs is the fencing counter of a pool with the newest draws by command id.
-type epochs struct {
+// poolEpochs is the fencing token counter of a pool with the newest tokens issued.
+type poolEpochs struct {
 	Pool string `json:"pool"`
 	Last uint64 `json:"last"`
-	// Drawn holds the newest draws, oldest first, so that a resend gets the
-	// number that it drew before.
-	Drawn []draw `json:"drawn"`
+	// Drawn holds the newest tokens, oldest first, so that a resent command gets the
+	// same token again.
+	Drawn []issuedEpoch `json:"drawn"`
 }
 
-type draw struct {
+// issuedEpoch is a fencing token with the identity of the command that obtained it.
+type issuedEpoch struct {
 	ID    string `json:"id"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// maxDraws bounds the remembered draws of a pool. Draws happen on takeovers of
-// a pool, so this covers far more than the time in which a resend can arrive.
-const maxDraws = 64
+// maxIssuedEpochs bounds the stored tokens of a pool. A pool needs a token per takeover,
+// so this covers far more than the time in which a resent command can arrive.
+const maxIssuedEpochs = 64
 
-func (s *State) drawEpoch(pool, id string) uint64 {
+// issueEpoch returns the next fencing token of a pool, or the token that the command with
+// this identity has obtained before.
+func (s *State) issueEpoch(pool, id string) uint64 {
 	e, ok := s.epochs[pool]
 	if !ok {
-		e = &epochs{Pool: pool}
+		e = &poolEpochs{Pool: pool}
 		s.epochs[pool] = e
 	}
 	for _, d := range e.Drawn {
@@ -128,9 +135,9 @@
 		}
 	}
 	e.Last++
-	e.Drawn = append(e.Drawn, draw{id, e.Last})
-	if len(e.Drawn) > maxDraws {
-		e.Drawn = slices.Delete(e.Drawn, 0, len(e.Drawn)-maxDraws)
+	e.Drawn = append(e.Drawn, issuedEpoch{id, e.Last})
+	if len(e.Drawn) > maxIssuedEpochs {
+		e.Drawn = slices.Delete(e.Drawn, 0, len(e.Drawn)-maxIssuedEpochs)
 	}
 	return e.Last
 }
--- a/internal/fleetstate/state_test.go
+++ b/internal/fleetstate/state_test.go
@@ -14,7 +14,7 @@
 
 const outAt, backAt = "2027-01-01T00:00:00Z", "2027-01-01T01:00:00Z"
 
-func config(moves ...fleetconfig.Move) *fleetconfig.Config {
+func testConfig(moves ...fleetconfig.Move) *fleetconfig.Config {
 	return &fleetconfig.Config{
 		Fleet: "test", DataCentres: []fleetconfig.DataCentre{{Name: "a"}, {Name: "b"}, {Name: "c"}},
 		Pools: []fleetconfig.Pool{{Name: "p"}, {Name: "q"}},
@@ -39,8 +39,8 @@
 	return *apply(t, s, Command{ID: sub.ChangeID, Submit: &Submit{Submission: sub}}).Submit
 }
 
-// TestSubmit guards against two winners of one base, a change that is applied
-// twice, and changes that refer to nothing.
+// TestSubmit guards against two changes accepted on one base, a change that is applied
+// twice, and changes that refer to an unknown revision or data centre.
 func TestSubmit(t *testing.T) {
 	steps := []struct {
 		name string
@@ -48,18 +48,18 @@
 		want api.SubmitResult
 	}{
 		{"out before a document", api.Submission{ChangeID: "0", DataCentre: "a", Out: true}, api.SubmitResult{Error: `data centre "a" does not exist`}},
-		{"first document", api.Submission{ChangeID: "1", Config: config()}, api.SubmitResult{Revision: 1}},
-		{"same base", api.Submission{ChangeID: "2", Config: config()}, api.SubmitResult{Conflict: "1", Revision: 1}},
-		{"winner resent", api.Submission{ChangeID: "1", Config: config()}, api.SubmitResult{Revision: 1}},
-		{"loser resent", api.Submission{ChangeID: "2", Base: 1, Config: config()}, api.SubmitResult{Conflict: "1", Revision: 1}},
+		{"first document", api.Submission{ChangeID: "1", Config: testConfig()}, api.SubmitResult{Revision: 1}},
+		{"same base", api.Submission{ChangeID: "2", Config: testConfig()}, api.SubmitResult{Conflict: "1", Revision: 1}},
+		{"accepted change resent", api.Submission{ChangeID: "1", Config: testConfig()}, api.SubmitResult{Revision: 1}},
+		{"refused change resent", api.Submission{ChangeID: "2", Base: 1, Config: testConfig()}, api.SubmitResult{Conflict: "1", Revision: 1}},
 		{"out", api.Submission{ChangeID: "3", Base: 1, DataCentre: "a", Out: true}, api.SubmitResult{Revision: 2}},
 		{"same base as out", api.Submission{ChangeID: "4", Base: 1, DataCentre: "b", Out: true}, api.SubmitResult{Conflict: "3", Revision: 2}},
-		{"unknown place", api.Submission{ChangeID: "5", Base: 2, DataCentre: "x", Out: true}, api.SubmitResult{Error: `data centre "x" does not exist`}},
-		{"base ahead", api.Submission{ChangeID: "6", Base: 9, Config: config()}, api.SubmitResult{Error: "base revision 9 does not exist, the newest is 2"}},
+		{"unknown data centre", api.Submission{ChangeID: "5", Base: 2, DataCentre: "x", Out: true}, api.SubmitResult{Error: `data centre "x" does not exist`}},
+		{"base does not exist", api.Submission{ChangeID: "6", Base: 9, Config: testConfig()}, api.SubmitResult{Error: "base revision 9 does not exist, the newest is 2"}},
 		{"empty", api.Submission{ChangeID: "7", Base: 2}, api.SubmitResult{Error: "change is empty"}},
-		{"no id", api.Submission{Base: 2, Config: config()}, api.SubmitResult{Error: "change id is missing"}},
+		{"no id", api.Submission{Base: 2, Config: testConfig()}, api.SubmitResult{Error: "change id is missing"}},
 		{"back", api.Submission{ChangeID: "8", Base: 2, DataCentre: "a"}, api.SubmitResult{Revision: 3}},
-		{"old base", api.Submission{ChangeID: "9", Base: 0, Config: config()}, api.SubmitResult{Conflict: "1", Revision: 1}},
+		{"old base", api.Submission{ChangeID: "9", Base: 0, Config: testConfig()}, api.SubmitResult{Conflict: "1", Revision: 1}},
 	}
 	is := is.New(t)
 	s := New()
@@ -76,21 +76,21 @@
 	is.Equal(s.History(2)[0].ChangeID, "8")
 }
 
-// TestResend guards against a resend that is applied again after hundreds of
-// changes and a restart from a snapshot.
+// TestResend guards against a resent change that is applied again after hundreds of
+// other changes and a restart from a snapshot.
 func TestResend(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	for i := range 600 {
-		is.Equal(submit(t, s, api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i), Config: config()}).Revision, uint64(i+1))
+		is.Equal(submit(t, s, api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i), Config: testConfig()}).Revision, uint64(i+1))
 	}
-	s = restored(t, s)
-	is.Equal(submit(t, s, api.Submission{ChangeID: "7", Base: 7, Config: config()}), api.SubmitResult{Revision: 8})
-	is.Equal(submit(t, s, api.Submission{ChangeID: "x", Base: 7, Config: config()}), api.SubmitResult{Conflict: "7", Revision: 8})
+	s = snapshotAndRestore(t, s)
+	is.Equal(submit(t, s, api.Submission{ChangeID: "7", Base: 7, Config: testConfig()}), api.SubmitResult{Revision: 8})
+	is.Equal(submit(t, s, api.Submission{ChangeID: "x", Base: 7, Config: testConfig()}), api.SubmitResult{Conflict: "7", Revision: 8})
 	is.Equal(s.Revision(), uint64(600))
 }
 
-func restored(t *testing.T, s *State) *State {
+func snapshotAndRestore(t *testing.T, s *State) *State {
 	t.Helper()
 	b, err := s.Snapshot()
 	if err != nil {
@@ -103,124 +103,124 @@
 	return out
 }
 
-func ms(text string) int64 {
+func unixMs(text string) int64 {
 	v, _ := parseMs(text)
 	return v
 }
 
-// TestMoves guards against a move that empties a pool, that overrides an
-// operator, that is made twice, or that is made after its time.
+// TestMoves guards against a move that leaves a pool without a target, overrides an
+// operator, is made twice, or takes a data centre out after the move has ended.
 func TestMoves(t *testing.T) {
 	move := func(dc string) fleetconfig.Move {
 		return fleetconfig.Move{Name: "m", DataCentre: dc, OutAt: outAt, BackAt: backAt}
 	}
-	at, after := ms(outAt), ms(backAt)
+	outMs, backMs := unixMs(outAt), unixMs(backAt)
 	type step struct {
-		ms  int64
-		out bool
-		op  string // operator's change before: out or back of the data centre
-		r   MoveResult
-		is  bool // data centre out afterwards
+		unixMs   int64
+		out      bool
+		operator string // change by an operator before the step: "out", "back" or ""
+		want     MoveResult
+		outAfter bool // whether the data centre is out of service after the step
 	}
 	cases := map[string]struct {
 		dc    string
 		steps []step
 	}{
 		"out and back": {"a", []step{
-			{at - 1, true, "", MoveNone, false}, {at, true, "", MoveOut, true}, {at + 5, true, "", MoveNone, true},
-			{at + 9, false, "", MoveNone, true}, {after, false, "", MoveBack, false}, {after + 1, false, "", MoveNone, false}}},
-		"only target of a pool":    {"c", []step{{at, true, "", MoveSkipped, false}, {after, false, "", MoveEnded, false}}},
-		"time is over":             {"a", []step{{after + 1, true, "", MoveNone, false}, {after + 1, false, "", MoveEnded, false}}},
-		"operator brings back":     {"a", []step{{at, true, "", MoveOut, true}, {at + 1, true, "back", MoveNone, false}, {after, false, "", MoveEnded, false}}},
-		"operator took out before": {"a", []step{{at, true, "out", MoveOut, true}, {after, false, "", MoveEnded, true}}},
-		"operator takes out again": {"a", []step{{at, true, "", MoveOut, true}, {at + 1, true, "back", MoveNone, false}, {after, false, "out", MoveEnded, true}}},
+			{outMs - 1, true, "", MoveNone, false}, {outMs, true, "", MoveOut, true}, {outMs + 5, true, "", MoveNone, true},
+			{outMs + 9, false, "", MoveNone, true}, {backMs, false, "", MoveBack, false}, {backMs + 1, false, "", MoveNone, false}}},
+		"only target of a pool":    {"c", []step{{outMs, true, "", MoveSkipped, false}, {backMs, false, "", MoveEnded, false}}},
+		"move has ended":           {"a", []step{{backMs + 1, true, "", MoveNone, false}, {backMs + 1, false, "", MoveEnded, false}}},
+		"operator brings back":     {"a", []step{{outMs, true, "", MoveOut, true}, {outMs + 1, true, "back", MoveNone, false}, {backMs, false, "", MoveEnded, false}}},
+		"operator took out before": {"a", []step{{outMs, true, "out", MoveOut, true}, {backMs, false, "", MoveEnded, true}}},
+		"operator takes out again": {"a", []step{{outMs, true, "", MoveOut, true}, {outMs + 1, true, "back", MoveNone, false}, {backMs, false, "out", MoveEnded, true}}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := New()
-			submit(t, s, api.Submission{ChangeID: "doc", Config: config(move(tc.dc))})
+			submit(t, s, api.Submission{ChangeID: "doc", Config: testConfig(move(tc.dc))})
 			for i, st := range tc.steps {
-				if st.op != "" {
-					submit(t, s, api.Submission{ChangeID: fmt.Sprint("op", i), Base: s.Revision(), DataCentre: tc.dc, Out: st.op == "out"})
+				if st.operator != "" {
+					submit(t, s, api.Submission{ChangeID: fmt.Sprint("op", i), Base: s.Revision(), DataCentre: tc.dc, Out: st.operator == "out"})
 				}
-				s = restored(t, s)
-				due := s.Due(st.ms)
-				r := apply(t, s, Command{UnixMs: st.ms, Move: &MoveStep{Move: MoveID(move(tc.dc)), Out: st.out}})
-				is.Equal(r.Move, st.r)
-				is.Equal(len(due) > 0 && due[0].Out == st.out, r.Move != MoveNone) // proposed exactly if it has an effect
-				is.Equal(s.View().Out[tc.dc], st.is)
+				s = snapshotAndRestore(t, s)
+				due := s.Due(st.unixMs)
+				r := apply(t, s, Command{UnixMs: st.unixMs, Move: &MoveStep{Move: MoveID(move(tc.dc)), Out: st.out}})
+				is.Equal(r.Move, st.want)
+				is.Equal(len(due) > 0 && due[0].Out == st.out, r.Move != MoveNone) // a step is due exactly if it has an effect
+				is.Equal(s.View().Out[tc.dc], st.outAfter)
 			}
 		})
 	}
 	is := is.New(t)
 	s := New()
-	submit(t, s, api.Submission{ChangeID: "doc", Config: config(move("a"))})
-	is.Equal(apply(t, s, Command{UnixMs: at, Move: &MoveStep{Move: "gone", Out: true}}).Move, MoveNone)
+	submit(t, s, api.Submission{ChangeID: "doc", Config: testConfig(move("a"))})
+	is.Equal(apply(t, s, Command{UnixMs: outMs, Move: &MoveStep{Move: "unlisted", Out: true}}).Move, MoveNone)
 	submit(t, s, api.Submission{ChangeID: "out", Base: 1, DataCentre: "b", Out: true}) // the other targets of the pool
-	is.Equal(apply(t, s, Command{UnixMs: at, Move: &MoveStep{Move: MoveID(move("a")), Out: true}}).Move, MoveSkipped)
+	is.Equal(apply(t, s, Command{UnixMs: outMs, Move: &MoveStep{Move: MoveID(move("a")), Out: true}}).Move, MoveSkipped)
 }
 
-// TestClaims guards against a key that runs twice, a late copy of a command that
-// blocks a released key, and an outcome that is lost.
+// TestClaims guards against a request that runs twice under one key, a delayed copy of a
+// command that blocks a released key, and an outcome that is lost.
 func TestClaims(t *testing.T) {
-	const day = claimLifeMs
+	const day = claimTTLMs
 	key := api.ClaimKey{Workspace: "w", Pool: "p", Key: "k"}
 	outcome := &api.ClaimOutcome{Status: 200, Body: []byte("x")}
-	long := &api.ClaimOutcome{Status: 200, Body: make([]byte, maxOutcomeBytes+1)}
-	claim := func(h string) Command { return Command{Claim: &Claim{key, h}} }
-	settle := func(h string, o *api.ClaimOutcome) Command { return Command{Settle: &Settle{key, h, o}} }
+	tooLong := &api.ClaimOutcome{Status: 200, Body: make([]byte, maxOutcomeBytes+1)}
+	claimBy := func(h string) Command { return Command{Claim: &Claim{key, h}} }
+	settleBy := func(h string, o *api.ClaimOutcome) Command { return Command{Settle: &Settle{key, h, o}} }
 	steps := []struct {
-		name  string
-		ms    int64
-		cmd   Command
-		state api.ClaimState // "" with err: refused
-		err   bool
+		name      string
+		unixMs    int64
+		cmd       Command
+		wantState api.ClaimState // "" if the result has no claim
+		wantErr   bool
 	}{
-		{"claim", 1, claim("h1"), api.ClaimNew, false},
-		{"claim resent", 2, claim("h1"), api.ClaimNew, false},
-		{"other holder", 3, claim("h2"), api.ClaimRunning, false},
-		{"settle by other", 4, settle("h2", outcome), "", true},
-		{"release", 5, settle("h1", nil), "", false},
-		{"late copy of the claim", 6, claim("h1"), "", true},
-		{"late copy of the release", 6, settle("h1", nil), "", false},
-		{"claim after release", 7, claim("h2"), api.ClaimNew, false},
-		{"late copy of the first release", 8, settle("h1", nil), "", true},
-		{"settle", 9, settle("h2", long), "", false},
-		{"settle resent", 10, settle("h2", nil), "", false},
-		{"resend of the request", 11, claim("h3"), api.ClaimDone, false},
-		{"just before its end", 6 + day, claim("h3"), api.ClaimDone, false},
-		{"after its end", 7 + day, claim("h3"), api.ClaimNew, false},
-		{"time never runs back", 1, claim("h4"), api.ClaimRunning, false},
+		{"claim", 1, claimBy("h1"), api.ClaimNew, false},
+		{"claim resent", 2, claimBy("h1"), api.ClaimNew, false},
+		{"other holder", 3, claimBy("h2"), api.ClaimRunning, false},
+		{"settle by other", 4, settleBy("h2", outcome), "", true},
+		{"release", 5, settleBy("h1", nil), "", false},
+		{"delayed copy of the claim", 6, claimBy("h1"), "", true},
+		{"delayed copy of the release", 6, settleBy("h1", nil), "", false},
+		{"claim after release", 7, claimBy("h2"), api.ClaimNew, false},
+		{"delayed copy of the first release", 8, settleBy("h1", nil), "", true},
+		{"settle", 9, settleBy("h2", tooLong), "", false},
+		{"settle resent", 10, settleBy("h2", nil), "", false},
+		{"resend of the request", 11, claimBy("h3"), api.ClaimDone, false},
+		{"just before it expires", 6 + day, claimBy("h3"), api.ClaimDone, false},
+		{"after it has expired", 7 + day, claimBy("h3"), api.ClaimNew, false},
+		{"time never goes backwards", 1, claimBy("h4"), api.ClaimRunning, false},
 	}
 	is := is.New(t)
 	s := New()
 	for _, st := range steps {
-		st.cmd.UnixMs = st.ms
+		st.cmd.UnixMs = st.unixMs
 		r := apply(t, s, st.cmd)
-		if (r.Error != "") != st.err || (r.Claim != nil && r.Claim.State != st.state) || (r.Claim == nil) != (st.state == "") {
+		if (r.Error != "") != st.wantErr || (r.Claim != nil && r.Claim.State != st.wantState) || (r.Claim == nil) != (st.wantState == "") {
 			t.Fatalf("%s: got %+v %+v", st.name, r, r.Claim)
 		}
-		if st.state == api.ClaimDone {
+		if st.wantState == api.ClaimDone {
 			is.True(r.Claim.Outcome.Status == 200 && r.Claim.Outcome.Truncated && r.Claim.Outcome.Body == nil)
 		}
-		s = restored(t, s)
+		s = snapshotAndRestore(t, s)
 	}
 	is.Equal(s.nowMs, int64(7+day))
 	apply(t, s, Command{UnixMs: 3 * day, Epoch: &OrderEpoch{"p"}})
-	is.Equal(len(s.claims.byKey)+len(s.claims.order), 0)
+	is.Equal(len(s.claims.byKey)+len(s.claims.expiryOrder), 0)
 }
 
-// TestClaimBounds guards against claims and bodies without bound, and against a
-// bound that differs after a restart.
+// TestClaimBounds guards against claims and bodies that exceed their limits, and against
+// limits that differ after a restart.
 func TestClaimBounds(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	is.Equal([2]int{s.claims.maxClaims, s.claims.maxBodies}, [2]int{maxClaims, maxBodies})
-	const bodies, most = 16 * maxOutcomeBytes, 100 // the real bounds take a minute under the race detector
-	s.claims.maxClaims, s.claims.maxBodies = most, bodies
+	is.Equal([2]int{s.claims.maxClaims, s.claims.maxStoredBodyBytes}, [2]int{maxClaims, maxStoredBodyBytes})
+	const bodyLimit, claimLimit = 16 * maxOutcomeBytes, 100 // the actual limits take a minute under the race detector
+	s.claims.maxClaims, s.claims.maxStoredBodyBytes = claimLimit, bodyLimit
 	truncated := 0
-	for i := range bodies/maxOutcomeBytes + 2 {
+	for i := range bodyLimit/maxOutcomeBytes + 2 {
 		key := api.ClaimKey{Key: fmt.Sprint(i)}
 		s.claims.claim(&Claim{key, "h"}, 1)
 		s.claims.settle(&Settle{key, "h", &api.ClaimOutcome{Status: 200, Body: make([]byte, maxOutcomeBytes)}})
@@ -229,20 +229,20 @@
 		}
 	}
 	is.Equal(truncated, 2)
-	s = restored(t, s)
-	is.Equal(s.claims.bodies, bodies)
+	s = snapshotAndRestore(t, s)
+	is.Equal(s.claims.storedBodyBytes, bodyLimit)
 	is.Equal(s.claims.maxClaims, maxClaims)
-	s.claims.maxClaims = most
-	s.claims.expire(1 + claimLifeMs)
-	is.Equal(s.claims.bodies, 0)
-	for i := range most {
+	s.claims.maxClaims = claimLimit
+	s.claims.expire(1 + claimTTLMs)
+	is.Equal(s.claims.storedBodyBytes, 0)
+	for i := range claimLimit {
 		s.claims.claim(&Claim{api.ClaimKey{Key: fmt.Sprint(i)}, "h"}, 1)
 	}
 	is.Equal(s.claims.claim(&Claim{api.ClaimKey{Key: "one more"}, "h"}, 1).Error, ErrClaimsFull)
 	is.Equal(s.claims.claim(&Claim{api.ClaimKey{Key: "1"}, "i"}, 1).Claim.State, api.ClaimRunning)
 }
 
-// TestOrderEpoch guards against a fencing number that is given twice or falls.
+// TestOrderEpoch guards against a fencing token that is issued to two commands or falls.
 func TestOrderEpoch(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -250,13 +250,13 @@
 	is.Equal(draw("p", "1"), uint64(1))
 	is.Equal(draw("p", "2"), uint64(2))
 	is.Equal(draw("q", "3"), uint64(1))
-	s = restored(t, s)
+	s = snapshotAndRestore(t, s)
 	is.Equal(draw("p", "1"), uint64(1)) // resend
 	is.Equal(draw("p", "4"), uint64(3))
 }
 
-// TestMalformed guards against an entry or snapshot that stops the replica or
-// changes the state.
+// TestMalformed guards against a malformed entry or snapshot that crashes the replica,
+// changes the state or is accepted.
 func TestMalformed(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -271,8 +271,8 @@
 	}
 }
 
-// TestDeterministic guards against replicas that differ because one of them has
-// restarted from a snapshot, and against commands that act twice when repeated.
+// TestDeterministic guards against replicas that differ because one of them has restarted
+// from a snapshot, and against commands that change the state when applied again.
 func TestDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -305,13 +305,13 @@
 }
 
 func drawCommand(t *rapid.T, i int, revision uint64) Command {
-	c := Command{ID: fmt.Sprint(i), UnixMs: ms(outAt) + rapid.Int64Range(-1000, 2*claimLifeMs).Draw(t, "ms")}
+	c := Command{ID: fmt.Sprint(i), UnixMs: unixMs(outAt) + rapid.Int64Range(-1000, 2*claimTTLMs).Draw(t, "ms")}
 	key := api.ClaimKey{Key: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "key")}
 	holder := rapid.SampledFrom([]string{"h", "i"}).Draw(t, "holder")
 	move := fleetconfig.Move{Name: "m", DataCentre: "a", OutAt: outAt, BackAt: backAt}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
-		c.Submit = &Submit{Submission: api.Submission{ChangeID: c.ID, Base: revision - rapid.Uint64Range(0, min(1, revision)).Draw(t, "old"), Config: config(move)}}
+		c.Submit = &Submit{Submission: api.Submission{ChangeID: c.ID, Base: revision - rapid.Uint64Range(0, min(1, revision)).Draw(t, "old"), Config: testConfig(move)}}
 	case 1:
 		c.Submit = &Submit{Submission: api.Submission{ChangeID: c.ID, Base: revision, DataCentre: "b", Out: rapid.Bool().Draw(t, "out")}}
 	case 2:
--- a/internal/fleetstate/submit.go
+++ b/internal/fleetstate/submit.go
@@ -7,7 +7,8 @@
 	"nutmegrouter/internal/api"
 )
 
-// submit decides on a change and stores the result under its id.
+// submit accepts or refuses a change and stores the result under its id. A change with a
+// known id gets the stored result.
 func (s *State) submit(c *Submit) api.SubmitResult {
 	if c.ChangeID == "" {
 		return api.SubmitResult{Error: "change id is missing"}
@@ -15,25 +16,27 @@
 	if r, ok := s.changes[c.ChangeID]; ok {
 		return r
 	}
-	r := s.decide(c)
+	r := s.applySubmission(c)
 	s.changes[c.ChangeID] = r
-	s.order = append(s.order, c.ChangeID)
-	if len(s.order) > maxChanges {
-		delete(s.changes, s.order[0])
-		s.order = s.order[1:]
+	s.changeOrder = append(s.changeOrder, c.ChangeID)
+	if len(s.changeOrder) > maxStoredChanges {
+		delete(s.changes, s.changeOrder[0])
+		s.changeOrder = s.changeOrder[1:]
 	}
 	return r
 }
 
-func (s *State) decide(c *Submit) api.SubmitResult {
+// applySubmission accepts a change only if its base is the newest revision (optimistic
+// concurrency control). A change with Newest set does not need a base.
+func (s *State) applySubmission(c *Submit) api.SubmitResult {
 	if c.Newest {
-		return s.decideNewest(c)
+		return s.applyToNewest(c)
 	}
 	switch {
 	case c.Base > s.revision:
 		return api.SubmitResult{Error: fmt.Sprintf("base revision %d does not exist, the newest is %d", c.Base, s.revision)}
 	case c.Base < s.revision:
-		return s.lost(c.Base + 1)
+		return s.conflictSince(c.Base + 1)
 	case c.Config == nil && c.DataCentre == "":
 		return api.SubmitResult{Error: "change is empty"}
 	}
@@ -46,31 +49,31 @@
 	}
 	s.config = config
 	s.setOut(c.DataCentre, c.Out, c.ChangeID)
-	s.forget()
-	s.accept(c.ChangeID, c.Author, c.Summary)
+	s.dropUnlisted()
+	s.addRevision(c.ChangeID, c.Author, c.Summary)
 	return api.SubmitResult{Revision: s.revision}
 }
 
-// decideNewest decides on a change without a base: the document with the highest
-// version wins, and a data centre is out or not.
-func (s *State) decideNewest(c *Submit) api.SubmitResult {
-	_, out := s.out[c.DataCentre]
+// applyToNewest applies a change without a base. A document replaces the current one if
+// its version is higher. A change without effect makes no revision.
+func (s *State) applyToNewest(c *Submit) api.SubmitResult {
+	_, out := s.outOfService[c.DataCentre]
 	newer := c.Document != nil && c.Version > s.version
-	toggles := c.DataCentre != "" && out != c.Out
-	if !newer && !toggles {
+	changesOut := c.DataCentre != "" && out != c.Out
+	if !newer && !changesOut {
 		return api.SubmitResult{Revision: s.revision}
 	}
 	if newer {
 		s.version, s.document = c.Version, c.Document
 	}
 	s.setOut(c.DataCentre, c.Out, c.ChangeID)
-	s.accept(c.ChangeID, c.Author, c.Summary)
+	s.addRevision(c.ChangeID, c.Author, c.Summary)
 	return api.SubmitResult{Revision: s.revision}
 }
 
-// lost names the change that made a revision, or the oldest one still known
-// after it.
-func (s *State) lost(revision uint64) api.SubmitResult {
+// conflictSince returns a conflict with the change that made a revision, or with the
+// oldest later one that is still in the history.
+func (s *State) conflictSince(revision uint64) api.SubmitResult {
 	for _, h := range s.history {
 		if h.Revision >= revision {
 			return api.SubmitResult{Conflict: h.ChangeID, Revision: h.Revision}
@@ -79,42 +82,44 @@
 	return api.SubmitResult{Conflict: "unknown", Revision: revision}
 }
 
-func (s *State) setOut(dc string, out bool, by string) {
+// setOut takes a data centre out of service or back. Cause is the change id.
+func (s *State) setOut(dc string, out bool, cause string) {
 	if dc == "" {
 		return
 	}
 	if !out {
-		delete(s.out, dc)
+		delete(s.outOfService, dc)
 	} else {
-		s.out[dc] = by
+		s.outOfService[dc] = cause
 	}
 }
 
-// forget drops data centres and moves that the document does not name any more.
-func (s *State) forget() {
-	for dc := range s.out {
+// dropUnlisted drops the state of data centres and moves that are no longer in the
+// document.
+func (s *State) dropUnlisted() {
+	for dc := range s.outOfService {
 		if !hasDataCentre(s.config, dc) {
-			delete(s.out, dc)
+			delete(s.outOfService, dc)
 		}
 	}
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range s.config.Moves {
-		known[MoveID(m)] = true
+		listed[MoveID(m)] = true
 	}
 	for id := range s.moves {
-		if !known[id] {
+		if !listed[id] {
 			delete(s.moves, id)
 		}
 	}
 }
 
-// accept makes a new revision.
-func (s *State) accept(id, author, summary string) {
+// addRevision makes a new revision with an entry in the history.
+func (s *State) addRevision(id, author, summary string) {
 	s.revision++
 	s.history = append(s.history, api.HistoryEntry{
 		Revision: s.revision, ChangeID: id, Author: author, UnixMs: s.nowMs, Summary: summary,
 	})
-	if len(s.history) > maxChanges {
+	if len(s.history) > maxStoredChanges {
 		s.history = s.history[1:]
 	}
 	s.rebuildView()
