--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -17,7 +17,7 @@
 	next             uint64 // index of the next entry to send
 	state            progressState
 	awaitingReply    bool   // no entries or chunks are sent before the next reply
-	lastContactTick  uint64 // tick of the last reply, at first tick at which the peer was added
+	lastContactTick  uint64 // tick of the last reply; initially the tick at which the peer was added
 	lastSentTick     uint64 // tick at which entries or a chunk were last sent
 	confirmedReadSeq uint64 // newest read sequence number that the peer has confirmed
 	snapshotOffset   uint64 // bytes of the snapshot that the peer has received
