--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -9,8 +9,8 @@
 	"nutmegrouter/internal/limits"
 )
 
-// newBenchOwner returns an owner whose targets are warm and about full, with
-// waiting requests of all workspaces.
+// newBenchOwner returns an owner with the given numbers of workspaces, each with
+// four waiting requests, and of targets, and its only instance.
 func newBenchOwner(workspaces, targets int) (*Owner, *peer) {
 	o := NewOwner("p", 1, map[string]string{"r": "dc"}, 0)
 	weights := map[string]float64{}
@@ -31,14 +31,15 @@
 	p := o.peers["r"]
 	for i := range workspaces {
 		for k := range 4 {
-			o.add(p, &Add{N: uint64(4*i + k + 1), Workspace: fmt.Sprint(i), Class: api.ClassQuick}, 0)
+			o.addWaiting(p, &Add{N: uint64(4*i + k + 1), Workspace: fmt.Sprint(i), Class: api.ClassQuick}, 0)
 		}
 	}
 	return o, p
 }
 
-// BenchmarkDecision measures one full turn: a decision, its grant message, the
-// completion of the work and the announcement of the next request.
+// BenchmarkDecision measures one full cycle: a decision, its grant message, the
+// completion of the work and the announcement of the next request. The warm-up
+// makes the targets warm and nearly full.
 func BenchmarkDecision(b *testing.B) {
 	for _, workspaces := range []int{16, 430, 4300} {
 		for _, targets := range []int{16, 1200, 12000} {
@@ -46,47 +47,47 @@
 				o, p := newBenchOwner(workspaces, targets)
 				var last Grant
 				send := func(_ string, m *GrantMsg) bool { last = m.List[len(m.List)-1]; return true }
-				turn := func(i int) {
+				cycle := func(i int) {
 					if !o.decide(time.Duration(i)) {
-						b.Fatal("nothing was granted")
+						b.Fatal("no request was granted")
 					}
 					o.Flush(send)
 					ws := p.requests[last.N].queue.account.Name
 					d := Done{last.N, api.Outcome{Result: api.ResultOK, Cost: float64(50 + i%100), Warmth: api.WarmthWarm}}
-					o.done(p, &d, time.Duration(i))
+					o.applyOutcome(p, &d, time.Duration(i))
 					a := Add{N: last.N, Workspace: ws, Class: api.ClassQuick}
-					o.add(p, &a, time.Duration(i))
+					o.addWaiting(p, &a, time.Duration(i))
 				}
 				for i := range 4 * targets {
-					turn(i)
+					cycle(i)
 				}
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					turn(i)
+					cycle(i)
 				}
 			})
 		}
 	}
 }
 
-// Guards against allocation on the steady path of a decision.
+// Guards against memory allocation in decisions once the buffers have grown.
 func TestDecisionDoesNotAllocate(t *testing.T) {
 	o, p := newBenchOwner(430, 1200)
 	var last Grant
 	send := func(_ string, m *GrantMsg) bool { last = m.List[0]; return true }
 	a := Add{Class: api.ClassQuick}
-	turn := func() {
+	cycle := func() {
 		o.decide(0)
 		o.Flush(send)
 		a.N, a.Workspace = last.N, p.requests[last.N].queue.account.Name
 		d := Done{last.N, api.Outcome{Result: api.ResultOK, Cost: 70}}
-		o.done(p, &d, 0)
-		o.add(p, &a, 0)
+		o.applyOutcome(p, &d, 0)
+		o.addWaiting(p, &a, 0)
 	}
 	for range 5000 {
-		turn()
+		cycle()
 	}
-	if n := testing.AllocsPerRun(1000, turn); n != 0 {
-		t.Fatalf("%v allocations", n)
+	if n := testing.AllocsPerRun(1000, cycle); n != 0 {
+		t.Fatalf("%v allocations per decision, want 0", n)
 	}
 }
--- a/internal/schedule/decode.go
+++ b/internal/schedule/decode.go
@@ -9,60 +9,62 @@
 	"nutmegrouter/internal/fairness"
 )
 
-// maxItems bounds each list of a message.
-const maxItems = 1 << 17
+// maxListLength bounds the length of each list in a message.
+const maxListLength = 1 << 17
 
-// reader reads one JSON text of nested arrays of numbers and strings. Missing
-// elements at the end of an array read as zero values. The first error sticks.
+// reader decodes one message of nested JSON arrays of numbers and strings. Elements
+// missing at the end of an array read as zero values. The first error is kept.
 type reader struct {
-	b     []byte
-	i     int
+	data  []byte
+	pos   int
 	first bool // no element of the innermost array was read
 	err   error
 }
 
 func (r *reader) fail(text string) {
 	if r.err == nil {
-		r.err = errors.Errorf("decode at byte %d: %s", r.i, text)
+		r.err = errors.Errorf("decode at byte %d: %s", r.pos, text)
 	}
 }
 
-func (r *reader) space() {
-	for r.i < len(r.b) && (r.b[r.i] == ' ' || r.b[r.i] == '\n' || r.b[r.i] == '\t' || r.b[r.i] == '\r') {
-		r.i++
+func (r *reader) skipSpace() {
+	for r.pos < len(r.data) && (r.data[r.pos] == ' ' || r.data[r.pos] == '\n' || r.data[r.pos] == '\t' || r.data[r.pos] == '\r') {
+		r.pos++
 	}
 }
 
-// peek returns the next byte that is not white space, or 0.
+// peek skips white space and returns the next byte without consuming it, or 0 at
+// the end or after an error.
 func (r *reader) peek() byte {
-	r.space()
-	if r.err != nil || r.i >= len(r.b) {
+	r.skipSpace()
+	if r.err != nil || r.pos >= len(r.data) {
 		return 0
 	}
-	return r.b[r.i]
+	return r.data[r.pos]
 }
 
-// array reads one array by a function that reads its known elements.
+// array reads one array, whose elements are read by the function. Further elements
+// are an error.
 func (r *reader) array(elements func()) {
 	if r.peek() != '[' {
 		r.fail("want an array")
 		return
 	}
-	r.i++
+	r.pos++
 	outer := r.first
 	r.first = true
 	elements()
-	if r.more() {
+	if r.next() {
 		r.fail("too many elements")
 	}
 	if r.err == nil && r.peek() == ']' {
-		r.i++
+		r.pos++
 	}
 	r.first = outer
 }
 
-// more reports whether the array has another element and moves to it.
-func (r *reader) more() bool {
+// next moves to the next element of the array and reports whether there is one.
+func (r *reader) next() bool {
 	switch r.peek() {
 	case ']':
 		return false
@@ -71,7 +73,7 @@
 			r.fail("unexpected comma")
 			return false
 		}
-		r.i++
+		r.pos++
 		if c := r.peek(); c == ']' || c == ',' {
 			r.fail("want an element")
 			return false
@@ -90,11 +92,11 @@
 }
 
 func (r *reader) token() []byte {
-	start := r.i
-	for r.i < len(r.b) && isNumeric(r.b[r.i]) {
-		r.i++
+	start := r.pos
+	for r.pos < len(r.data) && isNumeric(r.data[r.pos]) {
+		r.pos++
 	}
-	return r.b[start:r.i]
+	return r.data[start:r.pos]
 }
 
 func isNumeric(c byte) bool {
@@ -102,7 +104,7 @@
 }
 
 func (r *reader) uint() uint64 {
-	if !r.more() {
+	if !r.next() {
 		return 0
 	}
 	return r.uintValue()
@@ -118,7 +120,7 @@
 
 // float reads a number that is not negative unless signed is set.
 func (r *reader) float(signed bool) float64 {
-	if !r.more() {
+	if !r.next() {
 		return 0
 	}
 	x, err := strconv.ParseFloat(string(r.token()), 64)
@@ -130,7 +132,7 @@
 }
 
 func (r *reader) string() string {
-	if !r.more() {
+	if !r.next() {
 		return ""
 	}
 	return r.stringValue()
@@ -141,49 +143,49 @@
 		r.fail("want a string")
 		return ""
 	}
-	start, escaped := r.i, false
-	for r.i++; r.i < len(r.b) && r.b[r.i] != '"'; r.i++ {
-		if r.b[r.i] == '\\' || r.b[r.i] < ' ' || r.b[r.i] > '~' {
+	start, escaped := r.pos, false
+	for r.pos++; r.pos < len(r.data) && r.data[r.pos] != '"'; r.pos++ {
+		if r.data[r.pos] == '\\' || r.data[r.pos] < ' ' || r.data[r.pos] > '~' {
 			escaped = true
 		}
-		if r.b[r.i] == '\\' {
-			r.i++
+		if r.data[r.pos] == '\\' {
+			r.pos++
 		}
 	}
-	if r.i >= len(r.b) {
+	if r.pos >= len(r.data) {
 		r.fail("unexpected end of string")
 		return ""
 	}
-	r.i++
+	r.pos++
 	if !escaped {
-		return string(r.b[start+1 : r.i-1])
+		return string(r.data[start+1 : r.pos-1])
 	}
 	var s string
-	if err := json.Unmarshal(r.b[start:r.i], &s); err != nil {
+	if err := json.Unmarshal(r.data[start:r.pos], &s); err != nil {
 		r.fail("bad string")
 	}
 	return s
 }
 
-// word reads the code of a word.
-func word[T any](r *reader, words []T) T {
+// enum reads the index of one of the values.
+func enum[T any](r *reader, values []T) T {
 	i := r.uint()
-	if i >= uint64(len(words)) {
+	if i >= uint64(len(values)) {
 		r.fail("unknown code")
 		i = 0
 	}
-	return words[i]
+	return values[i]
 }
 
-// items reads an array of arrays.
-func items[T any](r *reader, item func(r *reader, x *T)) []T {
-	if !r.more() {
+// readList reads an array of arrays as a list of structs.
+func readList[T any](r *reader, item func(r *reader, x *T)) []T {
+	if !r.next() {
 		return nil
 	}
 	var out []T
 	r.array(func() {
-		for r.more() {
-			if len(out) == maxItems {
+		for r.next() {
+			if len(out) == maxListLength {
 				r.fail("list too long")
 				return
 			}
@@ -196,13 +198,13 @@
 }
 
 func (r *reader) numbers() []uint64 {
-	if !r.more() {
+	if !r.next() {
 		return nil
 	}
 	var out []uint64
 	r.array(func() {
 		for r.err == nil && r.peek() != ']' {
-			if len(out) == maxItems {
+			if len(out) == maxListLength {
 				r.fail("list too long")
 				return
 			}
@@ -212,17 +214,18 @@
 	return out
 }
 
-// message reads a whole text.
-func message(b []byte, elements func(r *reader)) error {
-	r := &reader{b: b}
+// decodeMessage decodes a message whose elements are read by the function. Data
+// after the message is an error.
+func decodeMessage(b []byte, elements func(r *reader)) error {
+	r := &reader{data: b}
 	r.array(func() { elements(r) })
-	if r.space(); r.err == nil && r.i != len(b) {
+	if r.skipSpace(); r.err == nil && r.pos != len(b) {
 		r.fail("text after the message")
 	}
 	return r.err
 }
 
-func (r *reader) head(h *Head) {
+func (r *reader) header(h *Head) {
 	h.Pool = r.string()
 	h.Epoch = r.uint()
 	h.Inc = r.uint()
@@ -235,22 +238,22 @@
 func readAdd(r *reader, a *Add) {
 	a.N = r.uint()
 	a.Workspace = r.string()
-	a.Class = word(r, classes)
+	a.Class = enum(r, classes)
 	a.Hint = r.float(false)
 	a.Avoid = r.string()
 }
 
 func readConfirm(r *reader, c *Confirm) {
 	c.N = r.uint()
-	c.Warmth = word(r, warmths)
+	c.Warmth = enum(r, warmths)
 	c.Boot = r.uint()
 }
 
 func readDone(r *reader, d *Done) {
 	d.N = r.uint()
-	d.Outcome.Result = word(r, results)
+	d.Outcome.Result = enum(r, results)
 	d.Outcome.Cost = r.float(false)
-	d.Outcome.Warmth = word(r, warmths)
+	d.Outcome.Warmth = enum(r, warmths)
 	d.Outcome.Boot = r.uint()
 }
 
@@ -258,15 +261,15 @@
 	x.N = r.uint()
 	x.Workspace = r.string()
 	x.Target = r.string()
-	x.Class = word(r, classes)
+	x.Class = enum(r, classes)
 	x.Estimate = r.float(false)
-	x.Confirmed = word(r, []bool{false, true})
+	x.Confirmed = enum(r, []bool{false, true})
 	x.AgeMs = r.uint()
 }
 
 func readGrant(r *reader, g *Grant) {
 	g.N = r.uint()
-	if r.more() {
+	if r.next() {
 		if r.peek() == '"' {
 			g.Target = r.stringValue()
 		} else {
@@ -289,55 +292,55 @@
 	}
 }
 
-func (r *reader) service(m *ServiceMsg) {
+func (r *reader) serviceTable(m *ServiceMsg) {
 	m.Pool = r.string()
 	m.Epoch = r.uint()
 	m.Seq = r.uint()
 	m.Virtual = r.float(true)
-	m.Rows = items(r, readRow)
+	m.Rows = readList(r, readRow)
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (m *DemandMsg) UnmarshalJSON(b []byte) error {
-	return message(b, func(r *reader) {
-		r.head(&m.Head)
-		m.Added = items(r, readAdd)
+	return decodeMessage(b, func(r *reader) {
+		r.header(&m.Head)
+		m.Added = readList(r, readAdd)
 		m.Cancelled = r.numbers()
-		m.Confirmed = items(r, readConfirm)
-		m.Done = items(r, readDone)
+		m.Confirmed = readList(r, readConfirm)
+		m.Done = readList(r, readDone)
 	})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (m *ReportMsg) UnmarshalJSON(b []byte) error {
-	return message(b, func(r *reader) {
-		r.head(&m.Head)
-		m.Waiting = items(r, readAdd)
-		m.Running = items(r, readRunning)
-		m.Done = items(r, readDone)
-		if r.more() {
-			r.array(func() { r.service(&m.Table) })
+	return decodeMessage(b, func(r *reader) {
+		r.header(&m.Head)
+		m.Waiting = readList(r, readAdd)
+		m.Running = readList(r, readRunning)
+		m.Done = readList(r, readDone)
+		if r.next() {
+			r.array(func() { r.serviceTable(&m.Table) })
 		}
-		m.Since = items(r, readUsage)
+		m.Since = readList(r, readUsage)
 	})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (m *GrantMsg) UnmarshalJSON(b []byte) error {
-	return message(b, func(r *reader) {
+	return decodeMessage(b, func(r *reader) {
 		m.Epoch = r.uint()
 		m.Inc = r.uint()
 		m.Gen = r.uint()
 		m.Clock = r.uint()
 		m.First = r.uint()
-		m.List = items(r, readGrant)
+		m.List = readList(r, readGrant)
 		m.Ack = r.uint()
-		m.Want = word(r, []bool{false, true})
+		m.Want = enum(r, []bool{false, true})
 		m.Pool = r.string()
 	})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (m *ServiceMsg) UnmarshalJSON(b []byte) error {
-	return message(b, func(r *reader) { r.service(m) })
+	return decodeMessage(b, func(r *reader) { r.serviceTable(m) })
 }
--- a/internal/schedule/doc.go
+++ b/internal/schedule/doc.go
@@ -1,14 +1,15 @@
-// Package schedule is the protocol between the owner of a pool and the routers
-// that queue requests for it.
+// Package schedule implements weighted fair scheduling of one pool across entry
+// instances: the protocol between the owner of the pool and the instances that
+// queue requests for it.
 //
-// Owner turns demand and target limits into grants; Router is the side that
-// keeps the waiting and running requests of one router. Both are pure state
-// machines: time and messages are arguments, messages are results. Time must
-// not go back. Messages may be lost, delayed, doubled and reordered.
+// Owner turns the announced requests and the limits of the targets into grants;
+// Router keeps the waiting and running requests of one instance. Both are pure
+// state machines: time and messages are arguments, messages are results. Time
+// must not go back. Messages may be lost, duplicated, delayed and reordered.
 //
-// A router numbers its requests, its messages and its full reports. Each full
-// report starts a new generation: it replaces everything the owner knew of this
-// router, and the router ignores grants of former generations. So a lost message
-// costs one report and never a slot, and a late grant never starts a request
-// twice.
+// An instance numbers its requests, its messages and its full reports. Each full
+// report starts a new generation: it replaces the owner's records of the
+// instance, and the instance ignores grants of earlier generations. So a lost
+// message costs one full report but no slot, and a delayed grant never starts a
+// request twice.
 package schedule
--- a/internal/schedule/encode.go
+++ b/internal/schedule/encode.go
@@ -8,116 +8,119 @@
 	"nutmegrouter/internal/fairness"
 )
 
-// Messages are JSON arrays without field names; trailing empty elements are left
-// out. encoding/json with tagged structs needs about three times the bytes.
+// Messages are JSON arrays without field names, and trailing zero elements are
+// omitted. encoding/json with tagged structs needs about three times the bytes.
 
+// Values that are encoded as their index; their order is part of the wire format.
 var classes = []api.CostClass{api.ClassUnknown, api.ClassLong, api.ClassQuick, api.ClassLabel}
 var warmths = []api.Warmth{api.WarmthUnknown, api.WarmthWarm, api.WarmthCold}
 var results = []api.Result{api.ResultOK, api.ResultNotStarted, api.ResultFailed, api.ResultCancelled}
 
-// code returns the index of a word, or 0 if it is unknown.
-func code[T comparable](words []T, w T) uint64 {
-	for i, x := range words {
-		if x == w {
+// indexOf returns the index of a value, or 0 if it is unknown.
+func indexOf[T comparable](values []T, v T) uint64 {
+	for i, x := range values {
+		if x == v {
 			return uint64(i)
 		}
 	}
 	return 0
 }
 
-// writer appends one JSON text. Elements equal to their zero value are held
-// back until a later element of the same array is written.
+// writer encodes one message as JSON arrays, nested at most four deep. Zero elements
+// are deferred until a later element of the same array is written, and omitted at
+// its end.
 type writer struct {
-	b     []byte
-	depth int
-	held  [4]int  // zero elements held back at each depth
-	first [4]bool // no element was written at this depth
-	zero  [4][8]byte
+	buf      []byte
+	depth    int
+	deferred [4]int  // number of zero elements deferred at each depth
+	empty    [4]bool // no element was written at this depth
+	zeros    [4][8]byte
 }
 
 func (w *writer) open() {
-	w.comma()
-	w.b = append(w.b, '[')
+	w.beginElement()
+	w.buf = append(w.buf, '[')
 	w.depth++
-	w.held[w.depth-1], w.first[w.depth-1] = 0, true
+	w.deferred[w.depth-1], w.empty[w.depth-1] = 0, true
 }
 
 func (w *writer) close() {
-	w.b = append(w.b, ']')
+	w.buf = append(w.buf, ']')
 	w.depth--
 }
 
-// comma writes the elements held back and a separator.
-func (w *writer) comma() {
+// beginElement writes the deferred zero elements and the separator before the next
+// element.
+func (w *writer) beginElement() {
 	if w.depth == 0 {
 		return
 	}
 	d := w.depth - 1
-	for i := range w.held[d] {
-		w.separate()
-		w.b = append(w.b, w.zero[d][i])
-		if w.zero[d][i] == '"' {
-			w.b = append(w.b, '"')
-		} else if w.zero[d][i] == '[' {
-			w.b = append(w.b, ']')
+	for i := range w.deferred[d] {
+		w.separator()
+		w.buf = append(w.buf, w.zeros[d][i])
+		if w.zeros[d][i] == '"' {
+			w.buf = append(w.buf, '"')
+		} else if w.zeros[d][i] == '[' {
+			w.buf = append(w.buf, ']')
 		}
 	}
-	w.held[d] = 0
-	w.separate()
+	w.deferred[d] = 0
+	w.separator()
 }
 
-func (w *writer) separate() {
+func (w *writer) separator() {
 	d := w.depth - 1
-	if !w.first[d] {
-		w.b = append(w.b, ',')
+	if !w.empty[d] {
+		w.buf = append(w.buf, ',')
 	}
-	w.first[d] = false
+	w.empty[d] = false
 }
 
-func (w *writer) hold(zero byte) {
+func (w *writer) deferZero(zero byte) {
 	d := w.depth - 1
-	if w.held[d] == len(w.zero[d]) {
-		w.comma()
-		w.b = append(w.b, zero)
+	if w.deferred[d] == len(w.zeros[d]) {
+		w.beginElement()
+		w.buf = append(w.buf, zero)
 		if zero == '"' {
-			w.b = append(w.b, '"')
+			w.buf = append(w.buf, '"')
 		} else if zero == '[' {
-			w.b = append(w.b, ']')
+			w.buf = append(w.buf, ']')
 		}
 		return
 	}
-	w.zero[d][w.held[d]] = zero
-	w.held[d]++
+	w.zeros[d][w.deferred[d]] = zero
+	w.deferred[d]++
 }
 
 func (w *writer) uint(x uint64) {
 	if x == 0 {
-		w.hold('0')
+		w.deferZero('0')
 		return
 	}
-	w.comma()
-	w.b = strconv.AppendUint(w.b, x, 10)
+	w.beginElement()
+	w.buf = strconv.AppendUint(w.buf, x, 10)
 }
 
 func (w *writer) float(x float64, digits int) {
 	if x == 0 {
-		w.hold('0')
+		w.deferZero('0')
 		return
 	}
-	w.comma()
-	w.b = strconv.AppendFloat(w.b, x, 'g', digits, 64)
+	w.beginElement()
+	w.buf = strconv.AppendFloat(w.buf, x, 'g', digits, 64)
 }
 
 func (w *writer) string(s string) {
 	if s == "" {
-		w.hold('"')
+		w.deferZero('"')
 		return
 	}
-	w.comma()
-	w.b = appendString(w.b, s)
+	w.beginElement()
+	w.buf = appendString(w.buf, s)
 }
 
-func (w *writer) flag(x bool) {
+func (w *writer) boolean(x bool) {
 	if x {
 		w.uint(1)
 		return
@@ -140,10 +143,10 @@
 	return append(b, '"')
 }
 
-// list writes an array of arrays.
-func list[T any](w *writer, items []T, item func(w *writer, x *T)) {
+// writeList writes a list of structs as an array of arrays.
+func writeList[T any](w *writer, items []T, item func(w *writer, x *T)) {
 	if len(items) == 0 {
-		w.hold('[')
+		w.deferZero('[')
 		return
 	}
 	w.open()
@@ -156,13 +159,14 @@
 }
 
 const (
-	costDigits     = 6  // significant digits of true costs
-	estimateDigits = 4  // of estimates, which are rough themselves
-	serviceDigits  = 7  // of service relative to the pool's virtual time
-	virtualDigits  = 10 // of the pool's virtual time, which only grows
+	// Significant digits of encoded numbers.
+	costDigits     = 6  // true costs
+	estimateDigits = 4  // estimates, which are imprecise
+	serviceDigits  = 7  // service relative to the pool's virtual time
+	virtualDigits  = 10 // the pool's virtual time, which only grows
 )
 
-func (w *writer) head(h *Head) {
+func (w *writer) header(h *Head) {
 	w.string(h.Pool)
 	w.uint(h.Epoch)
 	w.uint(h.Inc)
@@ -175,22 +179,22 @@
 func writeAdd(w *writer, a *Add) {
 	w.uint(a.N)
 	w.string(a.Workspace)
-	w.uint(code(classes, a.Class))
+	w.uint(indexOf(classes, a.Class))
 	w.float(a.Hint, estimateDigits)
 	w.string(a.Avoid)
 }
 
 func writeConfirm(w *writer, c *Confirm) {
 	w.uint(c.N)
-	w.uint(code(warmths, c.Warmth))
+	w.uint(indexOf(warmths, c.Warmth))
 	w.uint(c.Boot)
 }
 
 func writeDone(w *writer, d *Done) {
 	w.uint(d.N)
-	w.uint(code(results, d.Outcome.Result))
+	w.uint(indexOf(results, d.Outcome.Result))
 	w.float(d.Outcome.Cost, costDigits)
-	w.uint(code(warmths, d.Outcome.Warmth))
+	w.uint(indexOf(warmths, d.Outcome.Warmth))
 	w.uint(d.Outcome.Boot)
 }
 
@@ -198,9 +202,9 @@
 	w.uint(r.N)
 	w.string(r.Workspace)
 	w.string(r.Target)
-	w.uint(code(classes, r.Class))
+	w.uint(indexOf(classes, r.Class))
 	w.float(r.Estimate, estimateDigits)
-	w.flag(r.Confirmed)
+	w.boolean(r.Confirmed)
 	w.uint(r.AgeMs)
 }
 
@@ -229,76 +233,76 @@
 
 // MarshalJSON implements json.Marshaler.
 func (m *DemandMsg) MarshalJSON() ([]byte, error) {
-	w := &writer{b: make([]byte, 0, 128)}
+	w := &writer{buf: make([]byte, 0, 128)}
 	w.open()
-	w.head(&m.Head)
-	list(w, m.Added, writeAdd)
+	w.header(&m.Head)
+	writeList(w, m.Added, writeAdd)
 	w.numbers(m.Cancelled)
-	list(w, m.Confirmed, writeConfirm)
-	list(w, m.Done, writeDone)
+	writeList(w, m.Confirmed, writeConfirm)
+	writeList(w, m.Done, writeDone)
 	w.close()
-	return w.b, nil
+	return w.buf, nil
 }
 
 func (w *writer) numbers(ns []uint64) {
 	if len(ns) == 0 {
-		w.hold('[')
+		w.deferZero('[')
 		return
 	}
 	w.open()
 	for _, n := range ns {
-		w.comma()
-		w.b = strconv.AppendUint(w.b, n, 10)
+		w.beginElement()
+		w.buf = strconv.AppendUint(w.buf, n, 10)
 	}
 	w.close()
 }
 
 // MarshalJSON implements json.Marshaler.
 func (m *ReportMsg) MarshalJSON() ([]byte, error) {
-	w := &writer{b: make([]byte, 0, 256)}
+	w := &writer{buf: make([]byte, 0, 256)}
 	w.open()
-	w.head(&m.Head)
-	list(w, m.Waiting, writeAdd)
-	list(w, m.Running, writeRunning)
-	list(w, m.Done, writeDone)
+	w.header(&m.Head)
+	writeList(w, m.Waiting, writeAdd)
+	writeList(w, m.Running, writeRunning)
+	writeList(w, m.Done, writeDone)
 	w.open()
-	w.service(&m.Table)
+	w.serviceTable(&m.Table)
 	w.close()
-	list(w, m.Since, writeUsage)
+	writeList(w, m.Since, writeUsage)
 	w.close()
-	return w.b, nil
+	return w.buf, nil
 }
 
 // MarshalJSON implements json.Marshaler.
 func (m *GrantMsg) MarshalJSON() ([]byte, error) {
-	w := &writer{b: make([]byte, 0, 128)}
+	w := &writer{buf: make([]byte, 0, 128)}
 	w.open()
 	w.uint(m.Epoch)
 	w.uint(m.Inc)
 	w.uint(m.Gen)
 	w.uint(m.Clock)
 	w.uint(m.First)
-	list(w, m.List, writeGrant)
+	writeList(w, m.List, writeGrant)
 	w.uint(m.Ack)
-	w.flag(m.Want)
+	w.boolean(m.Want)
 	w.string(m.Pool)
 	w.close()
-	return w.b, nil
+	return w.buf, nil
 }
 
 // MarshalJSON implements json.Marshaler.
 func (m *ServiceMsg) MarshalJSON() ([]byte, error) {
-	w := &writer{b: make([]byte, 0, 256)}
+	w := &writer{buf: make([]byte, 0, 256)}
 	w.open()
-	w.service(m)
+	w.serviceTable(m)
 	w.close()
-	return w.b, nil
+	return w.buf, nil
 }
 
-func (w *writer) service(m *ServiceMsg) {
+func (w *writer) serviceTable(m *ServiceMsg) {
 	w.string(m.Pool)
 	w.uint(m.Epoch)
 	w.uint(m.Seq)
 	w.float(m.Virtual, virtualDigits)
-	list(w, m.Rows, writeRow)
+	writeList(w, m.Rows, writeRow)
 }
--- a/internal/schedule/fault_test.go
+++ b/internal/schedule/fault_test.go
@@ -7,23 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// expectSound reports what the targets have found.
-func expectSound(t *testing.T, s *sim, seed uint64) {
+// expectNoViolations fails the test for each violation found by the simulation.
+func expectNoViolations(t *testing.T, s *sim, seed uint64) {
 	t.Helper()
-	for _, f := range s.faulty {
+	for _, f := range s.violations {
 		t.Errorf("seed %d: %s", seed, f)
 	}
 }
 
-// expectDrained lets all work end and looks for slots or requests left behind.
-func expectDrained(t *testing.T, l *load, seed uint64) {
+// expectDrained lets all work end and checks that no slot is still used and no
+// request left.
+func expectDrained(t *testing.T, l *backlogSim, seed uint64) {
 	t.Helper()
 	clear(l.active)
-	l.faults = false
+	l.networkFaults = false
 	l.run(120 * time.Second)
-	for _, r := range l.routers {
-		if r.alive && r.r.Queued()+r.r.Running() > 0 {
-			t.Errorf("seed %d: router %s keeps %d waiting and %d running", seed, r.name, r.r.Queued(), r.r.Running())
+	for _, r := range l.instances {
+		if r.alive && r.router.Queued()+r.router.Running() > 0 {
+			t.Errorf("seed %d: instance %s still has %d waiting and %d running", seed, r.name, r.router.Queued(), r.router.Running())
 		}
 	}
 	if l.owner == nil {
@@ -31,34 +32,35 @@
 	}
 	for _, x := range l.owner.Limits().Targets() {
 		if x.Used() != 0 || x.Unconfirmed() != 0 {
-			t.Errorf("seed %d: %s has %d used, %d unconfirmed at rest", seed, x.Name, x.Used(), x.Unconfirmed())
+			t.Errorf("seed %d: %s still has %d used, %d unconfirmed", seed, x.Name, x.Used(), x.Unconfirmed())
 		}
 	}
-	if l.owner.Waiting() != 0 || len(l.owner.fair.Rows(nil, false)) > 0 && l.owner.fair.Min() != nil {
-		t.Errorf("seed %d: the owner keeps %d waiting", seed, l.owner.Waiting())
+	if l.owner.Waiting() != 0 || len(l.owner.accounts.Rows(nil, false)) > 0 && l.owner.accounts.Min() != nil {
+		t.Errorf("seed %d: the owner still has %d waiting", seed, l.owner.Waiting())
 	}
 }
 
-// strike makes one fault. The kinds are numbered from 0.
-func (l *load) strike(kind, which int) {
-	r := l.routers[which%len(l.routers)]
-	x := l.targets[which%len(l.targets)]
+// injectFault injects one fault. Kinds are 0 to faultKinds-1; index selects the
+// instance or target.
+func (l *backlogSim) injectFault(kind, index int) {
+	r := l.instances[index%len(l.instances)]
+	x := l.targets[index%len(l.targets)]
 	switch kind {
 	case 0:
-		if r.alive && r.name != l.at {
-			r.die()
+		if r.alive && r.name != l.ownerName {
+			r.crash()
 			l.after(time.Duration(100+l.rng.IntN(6000))*ms, r.restart)
 		}
 	case 1, 2:
-		x.turnCold(true)
+		x.makeCold(true)
 	case 3:
-		x.turnCold(false)
+		x.makeCold(false)
 	case 4:
-		l.moveOut(x.dc)
+		l.takeOutDataCentre(x.dataCentre)
 	case 5:
 		l.takeOver()
 	case 6:
-		l.faults = !l.faults
+		l.networkFaults = !l.networkFaults
 	case 7:
 		l.setLeaving(x.name, !l.leaving[x.name])
 	}
@@ -66,63 +68,64 @@
 
 const faultKinds = 8
 
-// Guards against the same as TestStorm, with sequences that shrink to the
-// shortest failing one.
+// Guards against the same failures as TestRandomFaults, with generated sequences of
+// faults that shrink to the shortest failing one.
 func TestGeneratedFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		l := newLoadOf(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), 3, 3, 4)
+		l := newBacklogSimOf(rapid.Uint64Range(1, 1<<20).Draw(t, "seed"), 3, 3, 4)
 		l.cancels = true
 		l.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "start")) * ms)
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
-			l.strike(rapid.IntRange(0, faultKinds-1).Draw(t, "kind"), rapid.IntRange(0, 2).Draw(t, "which"))
+			l.injectFault(rapid.IntRange(0, faultKinds-1).Draw(t, "kind"), rapid.IntRange(0, 2).Draw(t, "which"))
 			l.run(time.Duration(rapid.IntRange(0, 2500).Draw(t, "pause")) * ms)
 		}
 		l.run(5 * time.Second)
-		for _, f := range l.faulty {
+		for _, f := range l.violations {
 			t.Fatal(f)
 		}
 	})
 }
 
-// moveOut takes a data centre out and brings it back cold, all at once.
-func (l *load) moveOut(dc string) {
-	if l.out[dc] {
+// takeOutDataCentre takes a data centre out of service and returns it 5 s later with
+// all its targets cold.
+func (l *backlogSim) takeOutDataCentre(dc string) {
+	if l.dataCentresOut[dc] {
 		return
 	}
-	l.out[dc] = true
+	l.dataCentresOut[dc] = true
 	l.reconfigure()
 	l.after(5*time.Second, func() {
 		for _, x := range l.targets {
-			if x.dc == dc {
-				x.turnCold(true)
+			if x.dataCentre == dc {
+				x.makeCold(true)
 			}
 		}
-		delete(l.out, dc)
+		delete(l.dataCentresOut, dc)
 		l.reconfigure()
 	})
 }
 
-func (l *load) setLeaving(target string, leaving bool) {
+func (l *backlogSim) setLeaving(target string, leaving bool) {
 	l.leaving[target] = leaving
 	l.reconfigure()
 }
 
-func (l *load) reconfigure() {
+func (l *backlogSim) reconfigure() {
 	if l.owner != nil {
 		l.configure()
 	}
 }
 
-// takeOver kills the scheduling of the present owner; another one follows when
-// its votes have expired.
-func (l *load) takeOver() {
+// takeOver ends the current ownership; the first instance alive becomes the owner
+// after the lease has expired.
+func (l *backlogSim) takeOver() {
 	if l.owner == nil {
 		return
 	}
 	l.setOwner("")
-	l.after(simLease+100*ms, func() {
-		for _, r := range l.routers {
+	l.after(simLeaseTime+100*ms, func() {
+		for _, r := range l.instances {
 			if r.alive {
 				l.setOwner(r.name)
 				return
@@ -131,76 +134,77 @@
 	})
 }
 
-// Guards against overload of a target (R3) and against lost or doubled slots
-// under any mix of faults: dead and restarted routers, targets that turn cold,
-// a data centre that returns, takeovers, lost, doubled and late messages.
-func TestStorm(t *testing.T) {
+// Guards against overload of a target (R3) and against slots that are lost or
+// granted twice under random faults: crashed and restarted instances, targets that
+// turn cold, a data centre that returns, takeovers, and lost, duplicated and
+// delayed messages.
+func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 8; seed++ {
-		l := newLoad(seed)
+		l := newBacklogSim(seed)
 		l.cancels = true
 		l.run(5 * time.Second)
 		for range 20 {
-			l.strike(l.rng.IntN(faultKinds), l.rng.IntN(1000))
+			l.injectFault(l.rng.IntN(faultKinds), l.rng.IntN(1000))
 			l.run(time.Duration(l.rng.IntN(3000)) * ms)
 		}
 		l.run(10 * time.Second)
-		expectSound(t, l.sim, seed)
+		expectNoViolations(t, l.sim, seed)
 		expectDrained(t, l, seed)
 	}
 }
 
-// Guards against overload of a target (R3) in the cases that the design names,
-// each with work that outlives the fault.
+// Guards against overload of a target (R3) in the cases named in the design, each
+// with work that runs longer than the fault lasts.
 func TestTargetNeverOverloaded(t *testing.T) {
-	killWithOwner := func(l *load) {
-		l.routers[0].die() // runs ten times the work of the others
+	crashWithOwner := func(l *backlogSim) {
+		l.instances[0].crash() // has ten times the requests of the others
 		l.takeOver()
 	}
 	cases := []struct {
 		name   string
-		strike func(l *load)
+		inject func(l *backlogSim)
 	}{
-		{"first start", func(*load) {}},
-		{"cold without warning", func(l *load) {
+		{"first start", func(*backlogSim) {}},
+		{"cold without warning", func(l *backlogSim) {
 			for _, x := range l.targets {
-				x.turnCold(false)
+				x.makeCold(false)
 			}
 		}},
-		{"restart without warning", func(l *load) {
+		{"restart without warning", func(l *backlogSim) {
 			for _, x := range l.targets {
-				x.turnCold(true)
+				x.makeCold(true)
 			}
 		}},
-		{"data centre returns", func(l *load) { l.moveOut("dc0") }},
-		{"takeover", (*load).takeOver},
-		{"dead router", func(l *load) { l.routers[0].die() }},
-		{"restarted router", func(l *load) { l.routers[0].die(); l.routers[0].restart() }},
-		{"router dies with the owner", killWithOwner},
-		{"router dies with the owner and restarts", func(l *load) {
-			killWithOwner(l)
-			l.after(500*ms, l.routers[0].restart)
+		{"data centre returns", func(l *backlogSim) { l.takeOutDataCentre("dc0") }},
+		{"takeover", (*backlogSim).takeOver},
+		{"instance crashed", func(l *backlogSim) { l.instances[0].crash() }},
+		{"instance restarted", func(l *backlogSim) { l.instances[0].crash(); l.instances[0].restart() }},
+		{"instance and owner crash", crashWithOwner},
+		{"instance and owner crash and the instance restarts", func(l *backlogSim) {
+			crashWithOwner(l)
+			l.after(500*ms, l.instances[0].restart)
 		}},
-		{"cold during a takeover", func(l *load) {
+		{"cold during a takeover", func(l *backlogSim) {
 			l.takeOver()
-			l.after(time.Second, func() { l.targets[0].turnCold(true); l.targets[1].turnCold(false) })
+			l.after(time.Second, func() { l.targets[0].makeCold(true); l.targets[1].makeCold(false) })
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 3; seed++ {
-				l := newLoad(seed)
-				l.giants = true
+				l := newBacklogSim(seed)
+				l.onlyLargest = true
 				for _, x := range l.targets {
-					x.rate = 100 // work of 10 s outlives the takeover
+					x.rate = 100 // requests take 10 s, longer than the takeover
 				}
 				l.run(12 * time.Second)
-				c.strike(l)
+				c.inject(l)
 				l.run(25 * time.Second)
-				expectSound(t, l.sim, seed)
-				if l.ended["w00"] == 0 {
-					t.Errorf("seed %d: nothing was served", seed)
+				expectNoViolations(t, l.sim, seed)
+				if l.completions["w00"] == 0 {
+					t.Errorf("seed %d: no request of w00 completed", seed)
 				}
 				expectDrained(t, l, seed)
 			}
@@ -208,56 +212,56 @@
 	}
 }
 
-// Guards against a takeover that takes longer than 3 s, with routers that die
-// along with the owner and are not heard of.
+// Guards against a takeover that takes longer than 3 s when two instances crash
+// along with the owner and send no report to the new one.
 func TestTakeoverTime(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 3; seed++ {
-		l := newLoad(seed)
+		l := newBacklogSim(seed)
 		l.run(8 * time.Second)
-		begin, first := l.now, time.Duration(0)
+		takeoverAt, firstGrantAt := l.now, time.Duration(0)
 		l.onStart = func(*simJob) {
-			if first == 0 && l.now > begin+100*ms {
-				first = l.now
+			if firstGrantAt == 0 && l.now > takeoverAt+100*ms {
+				firstGrantAt = l.now
 			}
 		}
-		l.routers[0].die()
-		l.routers[2].die()
+		l.instances[0].crash()
+		l.instances[2].crash()
 		l.takeOver()
 		l.run(5 * time.Second)
-		if first == 0 || first-begin > 3*time.Second {
-			t.Errorf("seed %d: first grant after %v", seed, first-begin)
+		if firstGrantAt == 0 || firstGrantAt-takeoverAt > 3*time.Second {
+			t.Errorf("seed %d: first grant after %v", seed, firstGrantAt-takeoverAt)
 		}
-		t.Log(first - begin)
+		t.Log(firstGrantAt - takeoverAt)
 	}
 }
 
-// Guards against new work on a leaving target (R8) or in a data centre that is
-// out (R4) later than 3 s, 5 s with lost messages and a takeover, and against
-// running work that does not complete.
-func TestNothingNewOnLeaving(t *testing.T) {
+// Guards against new work on a leaving target (R8) or in a data centre that is out
+// of service (R4) more than 3 s after the change, or 5 s with lost messages and a
+// takeover, and against running work that does not complete.
+func TestNoNewWorkOnLeavingTargets(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 6; seed++ {
-		l := newLoad(seed)
+		l := newBacklogSim(seed)
 		l.run(5 * time.Second)
 		bound := 3 * time.Second
 		if seed%2 == 0 {
-			l.faults, bound = true, 5*time.Second
+			l.networkFaults, bound = true, 5*time.Second
 			l.takeOver()
 		}
 		at := l.now
-		l.out["dc1"] = true
+		l.dataCentresOut["dc1"] = true
 		l.setLeaving(l.targets[0].name, true)
 		l.run(20 * time.Second)
 		for _, x := range l.targets {
-			away := x.dc == "dc1" || x == l.targets[0]
-			if away && (x.lastNew > at+bound || len(x.jobs) > 0) {
-				t.Errorf("seed %d: %s got work %v after it was taken away, runs %d", seed, x.name, x.lastNew-at, len(x.jobs))
+			unavailable := x.dataCentre == "dc1" || x == l.targets[0]
+			if unavailable && (x.lastStartAt > at+bound || len(x.jobs) > 0) {
+				t.Errorf("seed %d: %s started work %v after it was taken out of service and still runs %d", seed, x.name, x.lastStartAt-at, len(x.jobs))
 			}
-			if !away && x.lastNew < l.now-time.Second {
-				t.Errorf("seed %d: %s has got nothing since %v", seed, x.name, x.lastNew)
+			if !unavailable && x.lastStartAt < l.now-time.Second {
+				t.Errorf("seed %d: %s has started no work since %v", seed, x.name, x.lastStartAt)
 			}
 		}
-		expectSound(t, l.sim, seed)
+		expectNoViolations(t, l.sim, seed)
 	}
 }
--- a/internal/schedule/inbound.go
+++ b/internal/schedule/inbound.go
@@ -7,139 +7,142 @@
 	"nutmegrouter/internal/fairness"
 )
 
-// Demand handles the changes that a router sent.
+// Demand handles the changes sent by an instance. A gap in the message numbers
+// leads to a request for a full report; stale and duplicate messages are counted
+// and ignored.
 func (o *Owner) Demand(from string, m *DemandMsg, now time.Duration) {
 	p := o.peers[from]
 	if p == nil || m.Epoch > o.epoch || p.isRetired(m.Inc) {
 		o.Stats.Stale++
 		return
 	}
-	inStep := p.reported && m.Epoch == o.epoch && m.Inc == p.inc
-	if inStep && (m.Gen < p.gen || m.Gen == p.gen && m.Seq <= p.seq) {
-		o.Stats.Stale++ // doubled or overtaken by a report
+	sameSession := p.reported && m.Epoch == o.epoch && m.Inc == p.incarnation
+	if sameSession && (m.Gen < p.generation || m.Gen == p.generation && m.Seq <= p.seq) {
+		o.Stats.Stale++ // duplicate, or overtaken by a report
 		return
 	}
-	if !inStep || m.Gen > p.gen || m.Seq > p.seq+1 || !p.synced {
+	if !sameSession || m.Gen > p.generation || m.Seq > p.seq+1 || !p.inSync {
 		o.Stats.Gaps++
-		p.synced = false
-		o.ask(p, now)
+		p.inSync = false
+		o.requestReport(p, now)
 		return
 	}
-	o.hear(p, &m.Head, now)
-	o.apply(p, m, now)
+	o.recordReceipt(p, &m.Head, now)
+	o.applyDemand(p, m, now)
 }
 
-// hear notes a message that arrived in order.
-func (o *Owner) hear(p *peer, h *Head, now time.Duration) {
-	p.seq, p.clock, p.heard = h.Seq, h.Clock, now
-	if p.mark != 0 && h.Got >= p.mark {
-		p.mark = 0
-		if p.sent > h.Got {
-			p.mark, p.markAt = p.sent, now
+// recordReceipt updates the record of an instance for a message received in order.
+func (o *Owner) recordReceipt(p *peer, h *Head, now time.Duration) {
+	p.seq, p.lastClock, p.lastReceivedAt = h.Seq, h.Clock, now
+	if p.awaitedAck != 0 && h.Got >= p.awaitedAck {
+		p.awaitedAck = 0
+		if p.grantsSent > h.Got {
+			p.awaitedAck, p.awaitingSince = p.grantsSent, now
 		}
 	}
 }
 
-func (o *Owner) apply(p *peer, m *DemandMsg, now time.Duration) {
-	o.finished(p, m.Done, now)
+func (o *Owner) applyDemand(p *peer, m *DemandMsg, now time.Duration) {
+	o.applyOutcomes(p, m.Done, now)
 	for i := range m.Confirmed {
 		c := &m.Confirmed[i]
 		if r := p.requests[c.N]; r != nil && !r.waiting {
-			o.lim.Confirm(&r.work, c.Warmth, c.Boot, now)
+			o.targets.Confirm(&r.work, c.Warmth, c.Boot, now)
 		}
 	}
 	for i := range m.Added {
-		o.add(p, &m.Added[i], now)
+		o.addWaiting(p, &m.Added[i], now)
 	}
-	// After the added ones: a request may be added and cancelled in one batch.
+	// After the additions: a request may be added and cancelled in one message.
 	for _, n := range m.Cancelled {
-		o.cancel(p, n, now)
+		o.cancelRequest(p, n, now)
 	}
 }
 
-func (o *Owner) add(p *peer, a *Add, now time.Duration) {
+func (o *Owner) addWaiting(p *peer, a *Add, now time.Duration) {
 	if p.requests[a.N] != nil {
 		return
 	}
-	if p.waiting >= Window*(o.workspaces+spareWorkspaces) {
+	if p.waiting >= Window*(o.workspaceCount+spareWorkspaces) {
 		o.Stats.Dropped++
 		return
 	}
 	q := o.queueOf(a.Workspace)
 	r := o.newRequest()
-	*r = request{n: a.N, peer: p, queue: q, kind: fairness.Kind(a.Class), hint: a.Hint,
-		avoid: a.Avoid, waiting: true, since: now}
+	*r = request{number: a.N, peer: p, queue: q, kind: fairness.Kind(a.Class), hint: a.Hint,
+		avoid: a.Avoid, waiting: true, announcedAt: now}
 	p.requests[a.N] = r
 	p.waiting++
 	q.push(r)
-	o.fair.Activate(q.account)
+	o.accounts.Activate(q.account)
 }
 
-func (o *Owner) queueOf(workspace string) *queue {
-	w := o.fair.Get(workspace)
-	q, ok := w.Data.(*queue)
+func (o *Owner) queueOf(workspace string) *ownerQueue {
+	w := o.accounts.Get(workspace)
+	q, ok := w.Data.(*ownerQueue)
 	if !ok {
-		q = &queue{account: w}
+		q = &ownerQueue{account: w}
 		w.Data = q
 	}
 	return q
 }
 
 func (o *Owner) newRequest() *request {
-	if r := o.free; r != nil {
-		o.free = r.next
+	if r := o.freeRequests; r != nil {
+		o.freeRequests = r.next
 		return r
 	}
 	return &request{}
 }
 
-// dequeue takes a waiting request out of its queue.
+// dequeue removes a waiting request from its queue.
 func (o *Owner) dequeue(r *request) {
 	r.waiting = false
 	r.peer.waiting--
 	r.queue.remove(r)
 	if r.queue.head == nil {
-		o.fair.Deactivate(r.queue.account)
+		o.accounts.Deactivate(r.queue.account)
 	}
 }
 
-// release ends the record of a request whose work has been unlinked.
-func (o *Owner) release(r *request) {
-	delete(r.peer.requests, r.n)
-	*r = request{next: o.free}
-	o.free = r
+// recycle returns the record of a request to the free list. The request must be in
+// no queue and its work must no longer count on a target.
+func (o *Owner) recycle(r *request) {
+	delete(r.peer.requests, r.number)
+	*r = request{next: o.freeRequests}
+	o.freeRequests = r
 }
 
-func (o *Owner) cancel(p *peer, n uint64, now time.Duration) {
+func (o *Owner) cancelRequest(p *peer, n uint64, now time.Duration) {
 	r := p.requests[n]
 	if r == nil {
 		return
 	}
 	if r.waiting {
 		o.dequeue(r)
-		o.release(r)
+		o.recycle(r)
 		return
 	}
-	// Returned unused, or the cancel crossed the grant.
+	// The grant was returned unused, or the cancellation crossed it.
 	o.refund(r, now)
 }
 
 func (o *Owner) refund(r *request, now time.Duration) {
 	o.Stats.Refunded++
-	o.fair.Refund(r.queue.account, r.estimate)
-	o.lim.Discard(&r.work, now)
-	o.release(r)
+	o.accounts.Refund(r.queue.account, r.estimate)
+	o.targets.Discard(&r.work, now)
+	o.recycle(r)
 }
 
-func (o *Owner) finished(p *peer, list []Done, now time.Duration) {
+func (o *Owner) applyOutcomes(p *peer, list []Done, now time.Duration) {
 	for i := range list {
-		o.done(p, &list[i], now)
+		o.applyOutcome(p, &list[i], now)
 	}
 }
 
-func (o *Owner) done(p *peer, d *Done, now time.Duration) {
+func (o *Owner) applyOutcome(p *peer, d *Done, now time.Duration) {
 	if d.Outcome.Result == api.ResultNotStarted {
-		o.cancel(p, d.N, now)
+		o.cancelRequest(p, d.N, now)
 		return
 	}
 	r := p.requests[d.N]
@@ -147,7 +150,7 @@
 		return
 	}
 	o.Stats.Settled++
-	o.fair.Settle(r.queue.account, r.kind, r.estimate, d.Outcome.Cost, d.Outcome.Cost > 0)
-	o.lim.End(&r.work, d.Outcome, now)
-	o.release(r)
+	o.accounts.Settle(r.queue.account, r.kind, r.estimate, d.Outcome.Cost, d.Outcome.Cost > 0)
+	o.targets.End(&r.work, d.Outcome, now)
+	o.recycle(r)
 }
--- a/internal/schedule/local.go
+++ b/internal/schedule/local.go
@@ -1,21 +1,25 @@
 package schedule
 
-// Local joins the scheduler and the pool client of one instance, whose messages
-// do not travel over the mesh. The scheduler provides it to the kernel.
+// Local connects the pool client with the owner on the same instance, whose
+// messages bypass the mesh. The scheduler plugin provides it to the kernel.
 type Local interface {
-	// Demand delivers a message to the local owner. The owner keeps it. It
-	// reports whether there was room.
+	// Demand queues a message for the local owner, which retains it. It returns
+	// false if the input queue is full.
 	Demand(m *DemandMsg) bool
-	// Report does the same for a full report.
+	// Report queues a full report for the local owner, which retains it. It
+	// returns false if the input queue is full.
 	Report(m *ReportMsg) bool
 	// Attach sets the receiver of grants and service tables. It must be called
-	// before the duties start.
+	// before the plugins' background tasks start.
 	Attach(c Client)
 }
 
 // Client receives the messages of the local owner. Messages are valid only
 // during the call.
 type Client interface {
+	// Grant handles grants or a request for a full report. From is the instance of
+	// the owner.
 	Grant(from string, m *GrantMsg)
+	// Service handles a copy of the virtual service table.
 	Service(from string, m *ServiceMsg)
 }
--- a/internal/schedule/message.go
+++ b/internal/schedule/message.go
@@ -5,7 +5,7 @@
 	"nutmegrouter/internal/fairness"
 )
 
-// Methods of the messages between routers and the owner of a pool.
+// RPC methods of the messages between entry instances and the owner of a pool.
 const (
 	MethodDemand  = "sched.demand"
 	MethodGrant   = "sched.grant"
@@ -15,94 +15,94 @@
 
 // Add announces a waiting request.
 type Add struct {
-	N         uint64 // number of the request on its router
+	N         uint64 // number of the request on its instance
 	Workspace string
 	Class     api.CostClass
-	Hint      float64
-	Avoid     string
+	Hint      float64 // expected cost in cost units; 0 = none
+	Avoid     string  // target to avoid if another has room; "" = none
 }
 
 // Confirm reports the first byte of a response.
 type Confirm struct {
-	N      uint64
+	N      uint64 // number of the request
 	Warmth api.Warmth
-	Boot   uint64
+	Boot   uint64 // boot number of the target; 0 = unknown
 }
 
-// Done ends the work on a grant.
+// Done reports that a request has ended or has returned its grant unused.
 type Done struct {
-	N       uint64
+	N       uint64 // number of the request
 	Outcome api.Outcome
 }
 
 // Running describes a started request in a full report.
 type Running struct {
-	N         uint64
+	N         uint64 // number of the request
 	Workspace string
 	Target    string
 	Class     api.CostClass
-	Estimate  float64
-	Confirmed bool
-	AgeMs     uint64
+	Estimate  float64 // cost units charged for the grant
+	Confirmed bool    // the target responded and was warm
+	AgeMs     uint64  // milliseconds since the start
 }
 
-// Head identifies a message from a router.
+// Head identifies a message from an instance.
 type Head struct {
 	Pool  string
-	Epoch uint64 // epoch of the owner as known to the router
-	Inc   uint64 // incarnation of the router; differs for each pool and process
-	Gen   uint64 // number of the newest full report
-	Seq   uint64 // number of this message in its generation, from 1
-	Clock uint64 // router's clock in milliseconds
-	Got   uint64 // grants received in this generation
+	Epoch uint64 // epoch of the owner as known to the instance
+	Inc   uint64 // incarnation of the sender; differs for each pool and process
+	Gen   uint64 // generation: number of the newest full report
+	Seq   uint64 // number of this message in its generation, from 1; 0 = the full report
+	Clock uint64 // instance's clock in milliseconds
+	Got   uint64 // number of grants received in this generation
 }
 
-// DemandMsg carries the changes since the last message of a router.
+// DemandMsg carries the changes since the last message of an instance.
 type DemandMsg struct {
 	Head
 	Added     []Add
-	Cancelled []uint64
+	Cancelled []uint64 // numbers of requests
 	Confirmed []Confirm
 	Done      []Done
 }
 
-// ReportMsg carries all announced and running requests of a router, and what
-// ended since its last message.
+// ReportMsg is a full report: all announced and running requests of an instance
+// and the outcomes that the owner has not acknowledged.
 type ReportMsg struct {
 	Head
 	Waiting []Add
 	Running []Running
 	Done    []Done
-	Table   ServiceMsg
-	Since   []Usage
+	Table   ServiceMsg // newest copy that the instance has received
+	Since   []Usage    // service since that copy
 }
 
-// Usage is service of one workspace in cost units; it is negative if estimates
+// Usage is service of one workspace in cost units. It is negative if estimates
 // were too high.
 type Usage struct {
 	Workspace string
 	Service   float64
 }
 
-// Grant names the target for one request: by name the first time in a
-// generation, later by Ref, which counts these names from 1.
+// Grant assigns a target to one request. A target is identified by its name the
+// first time in a generation and by Ref afterwards.
 type Grant struct {
-	N        uint64
+	N        uint64 // number of the request
 	Target   string
-	Ref      uint64
-	Estimate float64
+	Ref      uint64  // position of the name among those sent in this generation, from 1
+	Estimate float64 // cost units charged for the grant
 }
 
-// GrantMsg carries grants to a router, or asks for a full report.
+// GrantMsg carries grants to an instance, or requests a full report.
 type GrantMsg struct {
-	Pool  string // empty if the incarnation tells the pool
+	Pool  string // empty if the incarnation identifies the pool
 	Epoch uint64
-	Inc   uint64
-	Gen   uint64
-	Clock uint64 // newest clock value received from the router
-	First uint64 // grants sent in this generation before this message
-	Ack   uint64 // number of the newest message that has arrived in order
-	Want  bool   // a full report is wanted
+	Inc   uint64 // incarnation of the receiver
+	Gen   uint64 // generation of the receiver's newest report
+	Clock uint64 // newest clock value received from the instance, in milliseconds
+	First uint64 // number of grants sent in this generation before this message
+	Ack   uint64 // acknowledges messages up to this number; 0 = the full report alone
+	Want  bool   // a full report is requested
 	List  []Grant
 }
 
@@ -110,12 +110,12 @@
 type ServiceMsg struct {
 	Pool    string
 	Epoch   uint64
-	Seq     uint64
+	Seq     uint64  // number of the copy; grows within an epoch
 	Virtual float64 // virtual time of the pool
 	Rows    []fairness.Row
 }
 
-// Newer reports whether the copy is newer than another.
+// Newer reports whether the copy is newer than o, by epoch and then by number.
 func (m *ServiceMsg) Newer(o *ServiceMsg) bool {
 	if m.Epoch != o.Epoch {
 		return m.Epoch > o.Epoch
--- a/internal/schedule/message_test.go
+++ b/internal/schedule/message_test.go
@@ -29,35 +29,36 @@
 	&ServiceMsg{Pool: "p", Epoch: 9, Seq: 8, Virtual: 1234567.125, Rows: []fairness.Row{{Workspace: "w", Ahead: 2}}},
 }
 
-func emptyLike(m any) json.Unmarshaler {
+func newOfType(m any) json.Unmarshaler {
 	return reflect.New(reflect.TypeOf(m).Elem()).Interface().(json.Unmarshaler)
 }
 
-// Guards against a message that does not come out as it went in, or that
-// encoding/json, which carries it, does not accept.
-func TestMessages(t *testing.T) {
+// Guards against a message that changes when encoded and decoded, or whose encoding
+// is rejected by encoding/json, which the mesh uses.
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, m := range testMessages {
 		raw, err := json.Marshal(m)
 		is.NoErr(err)
-		got := emptyLike(m)
+		got := newOfType(m)
 		is.NoErr(json.Unmarshal(raw, got))
 		is.Equal(m, got)
 	}
 }
 
-// Guards against malformed messages being taken.
-func TestMalformed(t *testing.T) {
+// Guards against a decoder that accepts malformed messages.
+func TestMalformedMessagesRejected(t *testing.T) {
 	for _, text := range []string{``, `{}`, `[`, `[1]`, `["p",-1]`, `["p",1.5]`, `["p",1,]`, `["p" 1]`, `[,]`, `["p]`, `["p"]]`,
 		`["p",1,1,1,1,1,1,[[1,"w",9]]]`, `["p",1,1,1,1,1,1,[1]]`, `["p",1,1,1,1,1,1,[[1,"w",0,-1]]]`, `["p",1,1,1,1,1,1,[[1,"w",0,1e999]]]`,
 		`["p",1,1,1,1,1,1,[],[],[],[],1]`, `["\q"]`, `["p",18446744073709551616]`, `["p",1,1,1,1,1,1,[],["a"]]`} {
 		if err := new(DemandMsg).UnmarshalJSON([]byte(text)); err == nil {
-			t.Errorf("%s was taken", text)
+			t.Errorf("%s was accepted", text)
 		}
 	}
 }
 
-// Guards against panics and against messages that change when sent on.
+// Guards against a decoder that panics and against a decoded message whose encoding
+// cannot be decoded again.
 func FuzzMessages(f *testing.F) {
 	for _, m := range testMessages {
 		raw, err := m.MarshalJSON()
@@ -75,7 +76,7 @@
 			if err != nil {
 				t.Fatalf("%T: %v", m, err)
 			}
-			if err := emptyLike(m).UnmarshalJSON(again); err != nil {
+			if err := newOfType(m).UnmarshalJSON(again); err != nil {
 				t.Fatalf("%T: %s became %s: %v", m, raw, again, err)
 			}
 		}
--- a/internal/schedule/outbound.go
+++ b/internal/schedule/outbound.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// Tick handles the passing of time and returns the requests whose deadline has
-// passed in the queue. They have left the queue.
+// Tick announces requests whose delay has passed, and removes and returns the
+// waiting requests that missed their deadline.
 func (r *Router) Tick(now time.Duration) []*Item {
-	for _, l := range r.lines {
-		if l.pausedUntil != 0 && now >= l.pausedUntil {
-			l.pausedUntil = 0
-			r.announce(l, now)
+	for _, q := range r.queues {
+		if q.announceAfter != 0 && now >= q.announceAfter {
+			q.announceAfter = 0
+			r.announce(q, now)
 		}
-		if l.length() == 0 && now-l.lastGrant > maxRetry {
-			delete(r.lines, l.workspace)
+		if q.waiting() == 0 && now-q.lastGrantAt > maxRetryAfter {
+			delete(r.queues, q.workspace)
 		}
 	}
-	if r.deadline == 0 || now < r.deadline {
+	if r.earliestDeadline == 0 || now < r.earliestDeadline {
 		return nil
 	}
 	return r.expire(now)
 }
 
 func (r *Router) expire(now time.Duration) []*Item {
-	var late []*Item
-	r.deadline = 0
+	var expired []*Item
+	r.earliestDeadline = 0
 	r.eachWaiting(func(it *Item) {
 		switch d := it.Demand.Deadline; {
 		case d == 0:
 		case d <= now:
-			late = append(late, it)
-		case r.deadline == 0 || d < r.deadline:
-			r.deadline = d
+			expired = append(expired, it)
+		case r.earliestDeadline == 0 || d < r.earliestDeadline:
+			r.earliestDeadline = d
 		}
 	})
-	for _, it := range late {
+	for _, it := range expired {
 		r.Cancel(it, now)
 	}
-	return late
+	return expired
 }
 
-// RefuseAll takes all waiting requests out of the queue and returns them.
+// RefuseAll removes all waiting requests from the queue and returns them.
 func (r *Router) RefuseAll(now time.Duration) []*Item {
 	var all []*Item
 	r.eachWaiting(func(it *Item) { all = append(all, it) })
-	// Held requests go first, so that no window is refilled on the way.
+	// Unannounced requests go first, so that no cancellation announces another one.
 	slices.SortStableFunc(all, func(a, b *Item) int { return cmp.Compare(a.state, b.state) })
 	for _, it := range all {
 		r.Cancel(it, now)
@@ -56,11 +56,11 @@
 }
 
 func (r *Router) eachWaiting(f func(it *Item)) {
-	for _, l := range r.lines {
-		for it := l.announced.head; it != nil; it = it.next {
+	for _, q := range r.queues {
+		for it := q.announced.head; it != nil; it = it.next {
 			f(it)
 		}
-		for it := l.held.head; it != nil; it = it.next {
+		for it := q.unannounced.head; it != nil; it = it.next {
 			f(it)
 		}
 	}
@@ -71,43 +71,45 @@
 	if r.owner == "" {
 		return false
 	}
-	o := &r.out
-	return r.mustReport || len(o.Added)+len(o.Cancelled)+len(o.Confirmed)+len(o.Done) > 0 || r.beatDue(now)
+	d := &r.pendingDemand
+	return r.reportDue || len(d.Added)+len(d.Cancelled)+len(d.Confirmed)+len(d.Done) > 0 || r.heartbeatDue(now)
 }
 
-// beatDue reports whether an empty message is due.
-func (r *Router) beatDue(now time.Duration) bool {
-	gap := now - r.sent
+// heartbeatDue reports whether a message is due although nothing has changed: an
+// acknowledgement of grants or a heartbeat.
+func (r *Router) heartbeatDue(now time.Duration) bool {
+	idle := now - r.lastSentAt
 	switch {
-	case r.queued > 0 && r.got != r.acked:
-		return gap >= ackDelay
+	case r.queued > 0 && r.grantsReceived != r.grantsAcked:
+		return idle >= maxAckDelay
 	case r.queued > 0 || len(r.items) > 0:
-		return gap >= heartbeatBusy
+		return idle >= busyHeartbeatInterval
 	}
-	return gap >= heartbeatIdle && now-r.active < heartbeatTail
+	return idle >= idleHeartbeatInterval && now-r.lastActiveAt < idleHeartbeatDuration
 }
 
-// Flush returns the message that is due, or nil for both. The message is valid
-// until the next call on the router.
+// Flush returns the message that is due, either changes or a full report, or nil
+// for both. The caller must send it to the owner, or call Lost if it cannot. The
+// message is valid until the next call on the router.
 func (r *Router) Flush(now time.Duration) (*DemandMsg, *ReportMsg) {
 	if !r.Pending(now) {
 		return nil, nil
 	}
-	r.sent, r.acked = now, r.got
-	if r.mustReport {
-		return nil, r.makeReport(now)
+	r.lastSentAt, r.grantsAcked = now, r.grantsReceived
+	if r.reportDue {
+		return nil, r.buildReport(now)
 	}
 	r.seq++
-	r.out.Head = r.head(now)
-	r.swap()
-	return &r.spare, nil
+	r.pendingDemand.Head = r.newHead(now)
+	r.swapBuffers()
+	return &r.sentDemand, nil
 }
 
-// swap hands out the filled message and starts the next one in the buffers of
-// the message handed out before.
-func (r *Router) swap() {
-	r.out, r.spare = r.spare, r.out
-	r.out.clear()
+// swapBuffers moves the filled message to sentDemand and starts the next one in the
+// buffers of the message sent before.
+func (r *Router) swapBuffers() {
+	r.pendingDemand, r.sentDemand = r.sentDemand, r.pendingDemand
+	r.pendingDemand.clear()
 }
 
 func (m *DemandMsg) clear() {
@@ -115,53 +117,55 @@
 	m.Confirmed, m.Done = m.Confirmed[:0], m.Done[:0]
 }
 
-func (r *Router) head(now time.Duration) Head {
-	return Head{r.pool, r.epoch, r.inc, r.gen, r.seq, toMs(now), r.got}
+func (r *Router) newHead(now time.Duration) Head {
+	return Head{r.pool, r.epoch, r.incarnation, r.generation, r.seq, toMs(now), r.grantsReceived}
 }
 
-// makeReport starts a new generation, which voids all grants under way.
-func (r *Router) makeReport(now time.Duration) *ReportMsg {
-	r.gen++
-	r.seq, r.got, r.acked, r.names = 0, 0, 0, r.names[:0]
-	r.mustReport = false
-	r.reported = now
+// buildReport starts a new generation, which invalidates all grants in flight, and
+// returns its full report.
+func (r *Router) buildReport(now time.Duration) *ReportMsg {
+	r.generation++
+	r.seq, r.grantsReceived, r.grantsAcked, r.targetNames = 0, 0, 0, r.targetNames[:0]
+	r.reportDue = false
+	r.lastReportAt = now
 	m := &r.report
-	m.Head = r.head(now)
+	m.Head = r.newHead(now)
 	m.Waiting, m.Running = m.Waiting[:0], m.Running[:0]
-	for _, it := range r.sorted() {
+	for _, it := range r.sortedItems() {
 		if it.state == stateAnnounced {
-			m.Waiting = append(m.Waiting, it.add())
+			m.Waiting = append(m.Waiting, it.announcement())
 			continue
 		}
-		m.Running = append(m.Running, it.running(now))
+		m.Running = append(m.Running, it.runningEntry(now))
 	}
-	m.Table = r.table
+	m.Table = r.serviceTable
 	m.Table.Pool = ""
-	r.reportEnded(m)
+	r.addOutcomesAndService(m)
 	return m
 }
 
-// reportEnded adds the outcomes that are not acknowledged, and the service since
-// the last copy of the table, from which a new owner rebuilds the accounts.
-func (r *Router) reportEnded(m *ReportMsg) {
+// addOutcomesAndService adds to a report the outcomes that are not acknowledged and
+// the service since the last copy of the table, from which a new owner rebuilds
+// the accounts.
+func (r *Router) addOutcomesAndService(m *ReportMsg) {
 	m.Done = m.Done[:0]
-	for i := range r.ended {
-		r.ended[i].seq = 0
-		m.Done = append(m.Done, r.ended[i].Done)
+	for i := range r.unackedOutcomes {
+		r.unackedOutcomes[i].seq = 0
+		m.Done = append(m.Done, r.unackedOutcomes[i].Done)
 	}
 	m.Since = m.Since[:0]
-	for _, ws := range slices.Sorted(maps.Keys(r.since)) {
-		m.Since = append(m.Since, Usage{ws, r.since[ws]})
+	for _, ws := range slices.Sorted(maps.Keys(r.serviceSinceTable)) {
+		m.Since = append(m.Since, Usage{ws, r.serviceSinceTable[ws]})
 	}
 }
 
-func (it *Item) running(now time.Duration) Running {
+func (it *Item) runningEntry(now time.Duration) Running {
 	return Running{it.N, it.Demand.Workspace, it.target, it.Demand.Class,
-		it.estimate, it.confirmed, toMs(now - it.started)}
+		it.estimate, it.confirmed, toMs(now - it.startedAt)}
 }
 
-// sorted returns the announced and running requests in order of announcement.
-func (r *Router) sorted() []*Item {
+// sortedItems returns the announced and running requests in order of announcement.
+func (r *Router) sortedItems() []*Item {
 	all := make([]*Item, 0, len(r.items))
 	for _, it := range r.items {
 		all = append(all, it)
--- a/internal/schedule/owner.go
+++ b/internal/schedule/owner.go
@@ -10,98 +10,108 @@
 )
 
 const (
-	// Window is the number of waiting requests of one workspace that a router
-	// announces. It bounds the owner's state.
+	// Window is the largest number of waiting requests of one workspace that an
+	// instance announces. It bounds the owner's state.
 	Window = 64
-	// staleAfter is the silence after which a router gets no grants. Routers
-	// with waiting requests send every 250 ms and refuse grants that echo a
-	// clock value older than 1 s.
-	staleAfter = 800 * time.Millisecond
-	// askEvery is the interval between requests for the same full report.
-	askEvery = 200 * time.Millisecond
-	// ackLimit is how long grants may stay unacknowledged before the router gets
-	// no more of them and is asked for a full report. Routers with waiting
-	// requests acknowledge within ackDelay. Each grant to a dead router blocks a
-	// slot until the target has reported, so the limit is short.
-	ackLimit = 100 * time.Millisecond
-	// suspectAfter is the silence after which a router with requests is suspected
-	// to be dead: it should have sent twice.
+	// maxGrantSilence is the silence after which an instance gets no grants.
+	// Instances with waiting requests send every 250 ms and return grants that
+	// echo a clock value older than 1 s.
+	maxGrantSilence = 800 * time.Millisecond
+	// reportRequestInterval is the shortest interval between two requests for a
+	// full report to one instance.
+	reportRequestInterval = 200 * time.Millisecond
+	// maxGrantAckTime is how long grants may stay unacknowledged before the owner
+	// stops granting to the instance and requests a full report. Instances with
+	// waiting requests acknowledge within maxAckDelay. Each grant to a crashed
+	// instance blocks a slot until the target has reported, so the limit is short.
+	maxGrantAckTime = 100 * time.Millisecond
+	// suspectAfter is the silence after which an instance with requests is
+	// suspected of having crashed: two heartbeats are missing.
 	suspectAfter = 600 * time.Millisecond
-	// deadAfter is the silence after which a router without a lease is dead.
-	deadAfter = time.Second
-	// unheardAfter is the same for a router that a new owner has not heard at
-	// all: time for one request for a report and its answer. Waiting deadAfter
-	// here would prolong each takeover by a second beyond its bound of 3 s.
-	unheardAfter = askEvery
-	// limitsEvery is the interval of time steps of the targets, each of which
-	// costs one step for each target.
-	limitsEvery = 50 * time.Millisecond
-	// gateTime bounds the wait for the first load report after a takeover. It
-	// begins with the wait for the routers' reports.
-	gateTime = time.Second
-	// spareWorkspaces is room for workspaces that routers know and the owner's
-	// view does not.
+	// lostAfter is the silence after which an instance without a lease is lost.
+	lostAfter = time.Second
+	// unreportedLostAfter replaces lostAfter for an instance from which a new owner
+	// has received no report: time for one request for a report and its response.
+	// Waiting lostAfter here would prolong each takeover by a second, beyond its
+	// bound of 3 s.
+	unreportedLostAfter = reportRequestInterval
+	// targetTickInterval is the interval between ticks of the target set, each of
+	// which visits every target.
+	targetTickInterval = 50 * time.Millisecond
+	// maxGateTime bounds the wait for the first load report of a target after a
+	// takeover. It runs at the same time as the wait for the instances' reports.
+	maxGateTime = time.Second
+	// spareWorkspaces is how many workspaces that instances know and the owner's
+	// view does not are allowed for when an instance's waiting requests are bounded.
 	spareWorkspaces = 16
 )
 
 // Stats are counters of an owner. They only grow.
 type Stats struct {
+	// Grants counts grants, Settled those whose outcome was reported, and Refunded
+	// those returned unused. Started is not used.
 	Grants, Started, Settled, Refunded uint64
-	Gaps, Stale, Reports, Dropped      uint64
-	Lost                               uint64 // requests whose end was never reported
+	// Gaps counts messages after a loss, Stale those out of date, and Reports the
+	// full reports applied. Dropped counts announcements beyond the bound and
+	// messages that could not be sent.
+	Gaps, Stale, Reports, Dropped uint64
+	Lost                          uint64 // requests whose outcome was never reported
 }
 
-// Note is a change of state for the timeline.
+// Note is a change of state, recorded as an event of the timeline.
 type Note struct {
-	Step   string
-	Peer   string
-	Target string
+	Step   string // what happened
+	Peer   string // instance concerned, or ""
+	Target string // target concerned, or ""
 	Detail string
 }
 
-// maxNotes bounds the notes kept between two calls of Notes.
+// maxNotes bounds the notes kept between two calls of Notes; further ones are
+// dropped.
 const maxNotes = 256
 
-// Owner schedules one pool during one epoch of ownership.
+// Owner schedules the requests of one pool during one epoch of ownership. It is not
+// safe for concurrent use.
 type Owner struct {
 	Stats Stats
 
-	pool  string
-	epoch uint64
-	fair  *fairness.Table
-	lim   *limits.Set
-	peers map[string]*peer
-	order []*peer
-	dirty []*peer
-	free  *request
+	pool         string
+	epoch        uint64
+	accounts     *fairness.Table
+	targets      *limits.Set
+	peers        map[string]*peer
+	sortedPeers  []*peer
+	dirtyPeers   []*peer
+	freeRequests *request
 
-	open       bool
-	workspaces int
-	table      ServiceMsg // newest copy offered by a report
-	seq        uint64     // number of the last copy sent; starts at the clock, so that it grows if one instance owns an epoch twice
-	copies     uint64
-	emptied    bool   // the last copy had no rows
-	copied     uint64 // changes contained in the last copy
-	limTicked  time.Duration
-	forgot     time.Duration
-	notes      []Note
-	msg        GrantMsg
+	open           bool
+	workspaceCount int
+	newestTable    ServiceMsg // newest copy in a report received before the owner opened
+	tableSeq       uint64     // number of the last copy sent; starts at the clock value, so that it grows if one instance owns an epoch twice
+	tableCopies    uint64
+	lastCopyEmpty  bool   // the last copy had no rows
+	copiedChanges  uint64 // number of changes contained in the last copy
+	lastTargetTick time.Duration
+	lastForget     time.Duration
+	notes          []Note
+	grantMsg       GrantMsg
 }
 
-// NewOwner returns an owner that waits for the reports of all instances. The
-// map gives the data centre of each instance, this one included.
+// NewOwner returns an owner that grants nothing until all instances have reported
+// or hold no lease. Instances maps the name of each instance, including this one,
+// to its data centre.
 func NewOwner(pool string, epoch uint64, instances map[string]string, now time.Duration) *Owner {
 	o := &Owner{
-		pool: pool, epoch: epoch, forgot: now, seq: toMs(now),
-		fair: fairness.New(), lim: limits.NewSet(),
+		pool: pool, epoch: epoch, lastForget: now, tableSeq: toMs(now),
+		accounts: fairness.New(), targets: limits.NewSet(),
 		peers: make(map[string]*peer, len(instances)),
 	}
-	o.lim.Gate(now+gateTime, now)
+	o.targets.Gate(now+maxGateTime, now)
 	for _, name := range slices.Sorted(maps.Keys(instances)) {
-		p := &peer{name: name, dataCentre: instances[name], heard: now, requests: map[uint64]*request{}, names: map[string]uint64{}}
+		p := &peer{name: name, dataCentre: instances[name], lastReceivedAt: now, requests: map[uint64]*request{}, targetRefs: map[string]uint64{}}
 		o.peers[name] = p
-		o.order = append(o.order, p)
-		o.ask(p, now)
+		o.sortedPeers = append(o.sortedPeers, p)
+		o.requestReport(p, now)
 	}
 	return o
 }
@@ -112,24 +122,27 @@
 // Epoch returns the epoch of ownership.
 func (o *Owner) Epoch() uint64 { return o.epoch }
 
-// Open reports whether all instances have reported or hold no lease.
+// Open reports whether the owner makes grants: all instances have reported or hold
+// no lease.
 func (o *Owner) Open() bool { return o.open }
 
-// Limits gives access to the targets.
-func (o *Owner) Limits() *limits.Set { return o.lim }
+// Limits returns the targets of the pool with their limits, which the caller may
+// update.
+func (o *Owner) Limits() *limits.Set { return o.targets }
 
-// Fair gives access to the accounts.
-func (o *Owner) Fair() *fairness.Table { return o.fair }
+// Fair returns the virtual service accounts of the workspaces.
+func (o *Owner) Fair() *fairness.Table { return o.accounts }
 
 // SetWeights sets the weights of the configured workspaces.
 func (o *Owner) SetWeights(weights map[string]float64) {
-	o.workspaces = len(weights)
-	o.fair.SetWeights(weights)
+	o.workspaceCount = len(weights)
+	o.accounts.SetWeights(weights)
 }
 
-// Notes returns and clears the changes of state. The slice is reused.
+// Notes returns and clears the changes of state since the last call. The slice is
+// reused.
 func (o *Owner) Notes() []Note {
-	for _, c := range o.lim.Changes() {
+	for _, c := range o.targets.Changes() {
 		o.note(Note{Step: "target", Target: c.Target, Detail: c.What})
 	}
 	n := o.notes
@@ -143,8 +156,8 @@
 	}
 }
 
-// Schedule makes grants until no request waits or no target has room, and
-// returns their number.
+// Schedule makes grants until no request waits or no target has room, and returns
+// their number. It makes none before the owner is open.
 func (o *Owner) Schedule(now time.Duration) int {
 	if !o.open {
 		return 0
@@ -156,114 +169,116 @@
 	return count
 }
 
-// decide makes one scheduling decision and reports whether it granted. It costs
-// at most the logarithm of the workspaces and of the targets, and allocates
-// nothing once the buffers have grown.
+// decide grants the next request, if any, and reports whether it did. It takes time
+// logarithmic in the numbers of workspaces and targets, and allocates nothing once
+// the buffers have grown.
 func (o *Owner) decide(now time.Duration) bool {
-	w := o.fair.Min()
+	w := o.accounts.Min()
 	if w == nil {
 		return false
 	}
-	r := w.Data.(*queue).head
-	t := o.lim.Pick(r.peer.dataCentre, r.avoid)
+	r := w.Data.(*ownerQueue).head
+	t := o.targets.Pick(r.peer.dataCentre, r.avoid)
 	if t == nil {
 		return false
 	}
-	r.estimate = o.fair.Charge(w, r.kind, r.hint)
+	r.estimate = o.accounts.Charge(w, r.kind, r.hint)
 	o.dequeue(r)
-	o.lim.Begin(t, &r.work, now)
-	o.send(r.peer, r.peer.grant(r, t.Name), now)
+	o.targets.Begin(t, &r.work, now)
+	o.queueGrant(r.peer, r.peer.newGrant(r, t.Name), now)
 	o.Stats.Grants++
 	return true
 }
 
-func (o *Owner) send(p *peer, g Grant, now time.Duration) {
-	if p.mark == 0 {
-		p.markAt = now
+func (o *Owner) queueGrant(p *peer, g Grant, now time.Duration) {
+	if p.awaitedAck == 0 {
+		p.awaitingSince = now
 	}
-	p.out = append(p.out, g)
-	p.sent++
-	if p.mark == 0 {
-		p.mark = p.sent
+	p.pendingGrants = append(p.pendingGrants, g)
+	p.grantsSent++
+	if p.awaitedAck == 0 {
+		p.awaitedAck = p.grantsSent
 	}
-	o.touch(p)
+	o.markDirty(p)
 }
 
-func (o *Owner) touch(p *peer) {
-	if !p.dirty {
-		p.dirty = true
-		o.dirty = append(o.dirty, p)
+func (o *Owner) markDirty(p *peer) {
+	if !p.flushDue {
+		p.flushDue = true
+		o.dirtyPeers = append(o.dirtyPeers, p)
 	}
 }
 
-// Flush passes the messages due to a function. The message is valid only during
-// the call. If the function returns false the message is lost, and the router's
-// acknowledgements will show it.
+// Flush calls send for each message that is due. The message is valid only during
+// the call. If send returns false the message counts as lost, and the loss shows
+// in the instance's acknowledgements.
 func (o *Owner) Flush(send func(to string, m *GrantMsg) bool) {
-	for _, p := range o.dirty {
-		p.dirty = false
-		if len(p.out) == 0 && !p.want {
+	for _, p := range o.dirtyPeers {
+		p.flushDue = false
+		if len(p.pendingGrants) == 0 && !p.wantReport {
 			continue
 		}
-		o.msg = GrantMsg{
-			Epoch: o.epoch, Inc: p.inc, Gen: p.gen, Clock: p.clock,
-			First: p.sent - uint64(len(p.out)), Ack: p.ack(), Want: p.want, List: p.out,
+		o.grantMsg = GrantMsg{
+			Epoch: o.epoch, Inc: p.incarnation, Gen: p.generation, Clock: p.lastClock,
+			First: p.grantsSent - uint64(len(p.pendingGrants)), Ack: p.takeAck(), Want: p.wantReport, List: p.pendingGrants,
 		}
-		if p.want {
-			o.msg.Pool = o.pool // the router may be a new process
+		if p.wantReport {
+			o.grantMsg.Pool = o.pool // the instance may be a new process without this incarnation
 		}
-		if !send(p.name, &o.msg) {
+		if !send(p.name, &o.grantMsg) {
 			o.Stats.Dropped++
 		}
-		p.out, p.want = p.out[:0], false
+		p.pendingGrants, p.wantReport = p.pendingGrants[:0], false
 	}
-	o.dirty = o.dirty[:0]
+	o.dirtyPeers = o.dirtyPeers[:0]
 }
 
-// Pending reports whether Flush has messages.
-func (o *Owner) Pending() bool { return len(o.dirty) > 0 }
+// Pending reports whether Flush may have messages to send.
+func (o *Owner) Pending() bool { return len(o.dirtyPeers) > 0 }
 
-// ask requests a full report, at most once in askEvery.
-func (o *Owner) ask(p *peer, now time.Duration) {
-	if p.askedAt && now-p.asked < askEvery {
+// requestReport requests a full report, at most once per reportRequestInterval.
+func (o *Owner) requestReport(p *peer, now time.Duration) {
+	if p.reportRequested && now-p.reportRequestedAt < reportRequestInterval {
 		return
 	}
-	p.askedAt, p.asked, p.want = true, now, true
-	o.touch(p)
+	p.reportRequested, p.reportRequestedAt, p.wantReport = true, now, true
+	o.markDirty(p)
 }
 
-// learnedEvery is the number of copies of which one carries the learned means,
-// which are most of its bytes and change slowly.
-const learnedEvery = 5
+// copiesPerLearnedMeans is the number of copies of the table of which one includes
+// the learned mean costs, which are most of its bytes and change slowly.
+const copiesPerLearnedMeans = 5
 
-// Service fills a copy of the virtual service table: the accounts in use, or all.
-// It reports whether there is anything to send: not if nothing has changed.
+// Service fills m with a copy of the virtual service table: all accounts, or only
+// those that are backlogged or carry much debt. It returns false if there is
+// nothing to send: before the owner is open, if the last copy was empty as well, or,
+// unless all is set, if nothing has changed since the last copy.
 func (o *Owner) Service(m *ServiceMsg, all bool) bool {
 	changes := o.Stats.Grants + o.Stats.Settled + o.Stats.Refunded + o.Stats.Lost
-	if !o.open || changes == o.copied && !all {
+	if !o.open || changes == o.copiedChanges && !all {
 		return false
 	}
-	o.copied = changes
-	o.copies++
-	o.seq++
-	m.Pool, m.Epoch, m.Seq, m.Virtual = o.pool, o.epoch, o.seq, o.fair.VirtualTime()
-	m.Rows = o.fair.Rows(m.Rows[:0], all)
-	if len(m.Rows) == 0 && o.emptied {
-		return false // the last copy said the same
+	o.copiedChanges = changes
+	o.tableCopies++
+	o.tableSeq++
+	m.Pool, m.Epoch, m.Seq, m.Virtual = o.pool, o.epoch, o.tableSeq, o.accounts.VirtualTime()
+	m.Rows = o.accounts.Rows(m.Rows[:0], all)
+	if len(m.Rows) == 0 && o.lastCopyEmpty {
+		return false // the last copy was empty as well
 	}
-	o.emptied = len(m.Rows) == 0
+	o.lastCopyEmpty = len(m.Rows) == 0
 	for i := range m.Rows {
-		if !all && o.copies%learnedEvery != 1 {
+		if !all && o.tableCopies%copiesPerLearnedMeans != 1 {
 			m.Rows[i].Learned = [fairness.Kinds]float64{}
 		}
 	}
 	return true
 }
 
-// Waiting returns the number of announced requests that wait.
+// Waiting returns the number of announced requests without a grant.
 func (o *Owner) Waiting() int {
 	n := 0
-	for _, p := range o.order {
+	for _, p := range o.sortedPeers {
 		n += p.waiting
 	}
 	return n
--- a/internal/schedule/protocol_test.go
+++ b/internal/schedule/protocol_test.go
@@ -12,54 +12,54 @@
 	"nutmegrouter/internal/limits"
 )
 
-// pair joins one owner and one router by hand, so that a test decides about
+// pair connects one owner and one router without a network, so that a test controls
 // every message.
 type pair struct {
-	o     *Owner
-	r     *Router
-	now   time.Duration
-	valid bool
-	known bool
+	owner       *Owner
+	router      *Router
+	now         time.Duration
+	leaseValid  bool
+	targetKnown bool
 }
 
-func (p *pair) LeaseValid() bool                      { return p.valid }
-func (p *pair) Address(string, string) (string, bool) { return "a", p.known }
+func (p *pair) LeaseValid() bool                      { return p.leaseValid }
+func (p *pair) Address(string, string) (string, bool) { return "a", p.targetKnown }
 
 func newPair(slots int) *pair {
-	p := &pair{now: time.Minute, valid: true, known: true, r: NewRouter("p", 7)}
-	p.own(1, slots)
-	p.r.SetOwner("o", 1)
-	p.up()
+	p := &pair{now: time.Minute, leaseValid: true, targetKnown: true, router: NewRouter("p", 7)}
+	p.newOwner(1, slots)
+	p.router.SetOwner("o", 1)
+	p.deliverToOwner()
 	return p
 }
 
-func (p *pair) own(epoch uint64, slots int) {
-	p.o = NewOwner("p", epoch, map[string]string{"r": "dc"}, p.now)
-	p.o.Limits().Configure([]limits.Config{{Name: "t", DataCentre: "dc", WarmCapacity: slots, ColdCapacity: slots,
+func (p *pair) newOwner(epoch uint64, slots int) {
+	p.owner = NewOwner("p", epoch, map[string]string{"r": "dc"}, p.now)
+	p.owner.Limits().Configure([]limits.Config{{Name: "t", DataCentre: "dc", WarmCapacity: slots, ColdCapacity: slots,
 		EvidenceLife: time.Minute, ReportLag: time.Second, RequestLimit: time.Hour}}, p.now)
 }
 
-// up delivers what the router has to send.
-func (p *pair) up() {
+// deliverToOwner delivers all messages that the router has due.
+func (p *pair) deliverToOwner() {
 	for {
-		d, rep := p.r.Flush(p.now)
-		if d == nil && rep == nil {
+		demand, report := p.router.Flush(p.now)
+		if demand == nil && report == nil {
 			return
 		}
-		if d != nil {
-			p.o.Demand("r", d, p.now)
+		if demand != nil {
+			p.owner.Demand("r", demand, p.now)
 		} else {
-			p.o.Report("r", rep, p.now)
-			p.o.Limits().Silent("t", p.now)
+			p.owner.Report("r", report, p.now)
+			p.owner.Limits().Silent("t", p.now)
 		}
 	}
 }
 
-// down lets the owner grant and returns its message.
-func (p *pair) down() *GrantMsg {
-	p.o.Schedule(p.now)
+// schedule lets the owner make grants and returns its message, or nil.
+func (p *pair) schedule() *GrantMsg {
+	p.owner.Schedule(p.now)
 	var out *GrantMsg
-	p.o.Flush(func(_ string, m *GrantMsg) bool {
+	p.owner.Flush(func(_ string, m *GrantMsg) bool {
 		c := *m
 		c.List = slices.Clone(m.List)
 		out = &c
@@ -68,122 +68,123 @@
 	return out
 }
 
-// take delivers a message of the owner and returns the number of started requests.
-func (p *pair) take(m *GrantMsg) int {
+// deliverToRouter delivers a message of the owner and returns the number of requests
+// that may start.
+func (p *pair) deliverToRouter(m *GrantMsg) int {
 	if m == nil {
 		return 0
 	}
-	return len(p.r.OnGrant("o", m, p.now, p))
+	return len(p.router.OnGrant("o", m, p.now, p))
 }
 
-func (p *pair) pass(d time.Duration) {
+func (p *pair) advance(d time.Duration) {
 	for end := p.now + d; p.now < end; {
 		p.now += 50 * ms
-		p.r.Tick(p.now)
-		p.up()
-		p.o.Tick(p.now, func(string) bool { return true })
+		p.router.Tick(p.now)
+		p.deliverToOwner()
+		p.owner.Tick(p.now, func(string) bool { return true })
 	}
 }
 
 func (p *pair) enqueue(n int) (all []*Item) {
 	for i := range n {
-		it, _ := p.r.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"}, 1000, p.now)
+		it, _ := p.router.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"}, 1000, p.now)
 		all = append(all, it)
 	}
-	p.up()
+	p.deliverToOwner()
 	return all
 }
 
-// Guards against each loss, doubling or disorder of grants starting a request
-// twice, losing a slot, or leaving a request behind; and against each reason of
-// section 9.6 for which a grant must not be used.
+// Guards against grants that are lost, duplicated or reordered and so start a request
+// twice, lose a slot or leave a request waiting; and against the use of a grant that
+// section 9.6 of the design forbids.
 func TestGrantFaults(t *testing.T) {
 	cases := []struct {
-		name  string
-		first func(p *pair) int // handles the first grant and returns what started
-		want  int               // requests started by the first grant
+		name        string
+		handle      func(p *pair) int // delivers the first grant and returns the number of requests started
+		wantStarted int               // requests started by the first grant
 	}{
-		{"plain", func(p *pair) int { return p.take(p.down()) }, 1},
-		{"lost", func(p *pair) int { p.down(); return 0 }, 0},
-		{"doubled", func(p *pair) int { m := p.down(); return p.take(m) + p.take(m) }, 1},
-		{"late", func(p *pair) int { m := p.down(); p.now += echoLimit + 1*ms; return p.take(m) }, 0},
-		{"overtaken by a report", func(p *pair) int { m := p.down(); p.r.Lost(); p.up(); return p.take(m) }, 0},
-		{"old epoch", func(p *pair) int { m := p.down(); p.r.SetOwner("x", 2); return p.take(m) }, 0},
-		{"clock of another process", func(p *pair) int { m := p.down(); m.Clock += 500; return p.take(m) }, 0},
-		{"other incarnation", func(p *pair) int { m := p.down(); m.Inc++; return p.take(m) }, 0},
-		{"gap", func(p *pair) int { m := p.down(); m.First++; return p.take(m) }, 0},
-		{"no lease", func(p *pair) int { m := p.down(); p.valid = false; return p.take(m) }, 0},
-		{"target unknown or out", func(p *pair) int { m := p.down(); p.known = false; return p.take(m) }, 0},
+		{"delivered", func(p *pair) int { return p.deliverToRouter(p.schedule()) }, 1},
+		{"lost", func(p *pair) int { p.schedule(); return 0 }, 0},
+		{"duplicated", func(p *pair) int { m := p.schedule(); return p.deliverToRouter(m) + p.deliverToRouter(m) }, 1},
+		{"delayed", func(p *pair) int { m := p.schedule(); p.now += maxEchoedClockAge + 1*ms; return p.deliverToRouter(m) }, 0},
+		{"overtaken by a report", func(p *pair) int { m := p.schedule(); p.router.Lost(); p.deliverToOwner(); return p.deliverToRouter(m) }, 0},
+		{"earlier epoch", func(p *pair) int { m := p.schedule(); p.router.SetOwner("x", 2); return p.deliverToRouter(m) }, 0},
+		{"clock of another process", func(p *pair) int { m := p.schedule(); m.Clock += 500; return p.deliverToRouter(m) }, 0},
+		{"other incarnation", func(p *pair) int { m := p.schedule(); m.Inc++; return p.deliverToRouter(m) }, 0},
+		{"gap", func(p *pair) int { m := p.schedule(); m.First++; return p.deliverToRouter(m) }, 0},
+		{"no lease", func(p *pair) int { m := p.schedule(); p.leaseValid = false; return p.deliverToRouter(m) }, 0},
+		{"target unknown or out of service", func(p *pair) int { m := p.schedule(); p.targetKnown = false; return p.deliverToRouter(m) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p := newPair(1)
 			it := p.enqueue(1)[0]
-			is.Equal(c.first(p), c.want)
-			is.Equal(it.Started(), c.want == 1)
-			p.valid, p.known = true, true
-			if _, epoch := p.r.Owner(); epoch == 2 {
-				p.own(2, 1)
+			is.Equal(c.handle(p), c.wantStarted)
+			is.Equal(it.Started(), c.wantStarted == 1)
+			p.leaseValid, p.targetKnown = true, true
+			if _, epoch := p.router.Owner(); epoch == 2 {
+				p.newOwner(2, 1)
 			}
 			for range 60 {
-				p.pass(50 * ms)
-				p.take(p.down())
+				p.advance(50 * ms)
+				p.deliverToRouter(p.schedule())
 			}
-			is.True(it.Started()) // served in the end
-			is.Equal(p.o.Limits().Target("t").Used(), 1)
-			p.r.Done(it, api.Outcome{Result: api.ResultOK, Cost: 5}, p.now)
-			p.up()
-			is.Equal(p.o.Limits().Target("t").Used(), 0)
+			is.True(it.Started()) // granted again
+			is.Equal(p.owner.Limits().Target("t").Used(), 1)
+			p.router.Done(it, api.Outcome{Result: api.ResultOK, Cost: 5}, p.now)
+			p.deliverToOwner()
+			is.Equal(p.owner.Limits().Target("t").Used(), 0)
 		})
 	}
 }
 
-// Guards against a router that announces without bound, and against requests
-// beyond the window that are never announced.
+// Guards against a router that announces more than Window requests of a workspace,
+// and against requests beyond Window that are never announced.
 func TestWindow(t *testing.T) {
 	is := is.New(t)
 	p := newPair(10)
 	all := p.enqueue(3 * Window)
-	is.Equal(p.o.Waiting(), Window)
+	is.Equal(p.owner.Waiting(), Window)
 	started := 0
 	for range 3 * Window {
-		started += p.take(p.down())
+		started += p.deliverToRouter(p.schedule())
 		for _, it := range all {
-			p.r.Done(it, api.Outcome{Result: api.ResultOK, Cost: 1}, p.now)
+			p.router.Done(it, api.Outcome{Result: api.ResultOK, Cost: 1}, p.now)
 		}
-		p.up()
-		is.True(p.o.Waiting() <= Window)
+		p.deliverToOwner()
+		is.True(p.owner.Waiting() <= Window)
 	}
 	is.Equal(started, 3*Window)
 }
 
-// Guards against a cancelled request that keeps a slot or gets one.
+// Guards against a cancelled request that still uses a slot, or gets one afterwards.
 func TestCancel(t *testing.T) {
 	is := is.New(t)
 	p := newPair(1)
 	all := p.enqueue(3)
-	p.r.Cancel(all[1], p.now)
-	p.up()
-	m := p.down()
-	p.r.Cancel(all[0], p.now) // crosses its grant
-	is.Equal(p.take(m), 0)
-	p.up()
-	is.Equal(p.take(p.down()), 1)
+	p.router.Cancel(all[1], p.now)
+	p.deliverToOwner()
+	m := p.schedule()
+	p.router.Cancel(all[0], p.now) // crosses its grant
+	is.Equal(p.deliverToRouter(m), 0)
+	p.deliverToOwner()
+	is.Equal(p.deliverToRouter(p.schedule()), 1)
 	is.True(all[2].Started())
-	p.r.Cancel(all[2], p.now)
-	p.up()
-	is.Equal(p.o.Limits().Target("t").Used(), 0)
-	is.Equal(p.o.Waiting(), 0)
-	is.Equal(p.o.Fair().Get("w").Virtual(), 0.0) // nothing was served
-	it, _ := p.r.Enqueue(api.Demand{Pool: "p", Workspace: "w"}, 1000, p.now)
-	p.r.Cancel(it, p.now) // in one message with its announcement
-	p.up()
-	is.Equal(p.o.Waiting(), 0)
+	p.router.Cancel(all[2], p.now)
+	p.deliverToOwner()
+	is.Equal(p.owner.Limits().Target("t").Used(), 0)
+	is.Equal(p.owner.Waiting(), 0)
+	is.Equal(p.owner.Fair().Get("w").Virtual(), 0.0) // no service was charged
+	it, _ := p.router.Enqueue(api.Demand{Pool: "p", Workspace: "w"}, 1000, p.now)
+	p.router.Cancel(it, p.now) // in the same message as its announcement
+	p.deliverToOwner()
+	is.Equal(p.owner.Waiting(), 0)
 }
 
-// Guards against a queue without bound, a retry advice without meaning and a
-// deadline that does not end the wait.
+// Guards against a queue that exceeds its limit, a rejection without a retry time,
+// and a request that waits beyond its deadline.
 func TestQueueLimitAndDeadline(t *testing.T) {
 	is := is.New(t)
 	r := NewRouter("p", 1)
@@ -199,31 +200,32 @@
 	is.Equal(r.Queued(), 0)
 }
 
-// Guards against an owner that grants before every router has reported, and
-// against one that waits for a router that holds no lease.
-func TestOpen(t *testing.T) {
+// Guards against an owner that opens before every instance with a lease has
+// reported, and against one that waits for an instance without a lease.
+func TestOwnerWaitsForReports(t *testing.T) {
 	is := is.New(t)
 	o := NewOwner("p", 1, map[string]string{"a": "x", "b": "x"}, 0)
 	o.Report("a", &ReportMsg{Head: Head{Epoch: 1, Inc: 1, Gen: 1}}, 0)
 	o.Tick(5*time.Second, func(string) bool { return true })
 	is.True(!o.Open())
-	asked := map[string]bool{}
-	o.Flush(func(to string, m *GrantMsg) bool { asked[to] = m.Want; return true })
-	is.True(asked["b"]) // asked again
+	requested := map[string]bool{}
+	o.Flush(func(to string, m *GrantMsg) bool { requested[to] = m.Want; return true })
+	is.True(requested["b"]) // requested again
 	o.Tick(6*time.Second, func(name string) bool { return name != "b" })
 	is.True(o.Open())
 }
 
-// Guards against an owner whose state grows with what a router sends.
-func TestBoundedState(t *testing.T) {
+// Guards against an owner whose memory grows without bound with the announcements of
+// an instance, or with messages of unknown instances.
+func TestOwnerStateBounded(t *testing.T) {
 	is := is.New(t)
 	p := newPair(1)
 	d := &DemandMsg{Head: Head{Epoch: 1, Inc: 7, Gen: 1, Seq: 1}}
 	for i := range 100000 {
 		d.Added = append(d.Added, Add{N: uint64(i), Workspace: fmt.Sprint(i)})
 	}
-	p.o.Demand("r", d, p.now)
-	is.Equal(p.o.Waiting(), Window*spareWorkspaces)
-	p.o.Demand("stranger", d, p.now)
-	is.Equal(len(p.o.peers), 1)
+	p.owner.Demand("r", d, p.now)
+	is.Equal(p.owner.Waiting(), Window*spareWorkspaces)
+	p.owner.Demand("stranger", d, p.now)
+	is.Equal(len(p.owner.peers), 1)
 }
--- a/internal/schedule/rebuild.go
+++ b/internal/schedule/rebuild.go
@@ -6,7 +6,9 @@
 	"nutmegrouter/internal/fairness"
 )
 
-// Report handles a full report: it replaces what is known of the router.
+// Report handles a full report, which replaces the owner's records of the instance.
+// A report of an earlier generation is ignored; one for an earlier epoch leads to a
+// request for a new report.
 func (o *Owner) Report(from string, m *ReportMsg, now time.Duration) {
 	p := o.peers[from]
 	if p == nil || m.Epoch > o.epoch || p.isRetired(m.Inc) {
@@ -14,43 +16,43 @@
 		return
 	}
 	if m.Epoch < o.epoch {
-		o.ask(p, now) // the router does not know of this owner yet
+		o.requestReport(p, now) // the instance has not learned of this owner yet
 		return
 	}
-	if p.reported && m.Inc == p.inc && m.Gen <= p.gen {
+	if p.reported && m.Inc == p.incarnation && m.Gen <= p.generation {
 		o.Stats.Stale++
 		return
 	}
 	o.Stats.Reports++
-	if p.reported && m.Inc != p.inc {
+	if p.reported && m.Inc != p.incarnation {
 		o.replaceIncarnation(p, now)
 	}
 	if p.lost {
 		o.note(Note{Step: "router back", Peer: p.name})
 	}
-	p.inc, p.gen, p.reported, p.synced, p.lost = m.Inc, m.Gen, true, true, false
-	p.acked = 0
-	clear(p.names)
-	p.sent, p.mark, p.out, p.want = 0, 0, p.out[:0], false
-	o.hear(p, &m.Head, now)
-	o.finished(p, m.Done, now)
+	p.incarnation, p.generation, p.reported, p.inSync, p.lost = m.Inc, m.Gen, true, true, false
+	p.lastAckSent = 0
+	clear(p.targetRefs)
+	p.grantsSent, p.awaitedAck, p.pendingGrants, p.wantReport = 0, 0, p.pendingGrants[:0], false
+	o.recordReceipt(p, &m.Head, now)
+	o.applyOutcomes(p, m.Done, now)
 	o.reconcile(p, m, now)
-	o.offer(p, m)
+	o.recordTable(p, m)
 	o.tryOpen(now)
 }
 
-// replaceIncarnation handles a router that restarted with empty memory: what it
-// ran before may still run on the targets.
+// replaceIncarnation handles an instance that restarted with empty memory. The work
+// of the earlier process may still run on the targets.
 func (o *Owner) replaceIncarnation(p *peer, now time.Duration) {
 	o.note(Note{Step: "router restarted", Peer: p.name})
 	o.dropWaiting(p)
 	for n, r := range p.requests {
-		o.lim.Orphan(&r.work, now)
-		o.fair.Settle(r.queue.account, r.kind, r.estimate, 0, false)
+		o.targets.Orphan(&r.work, now)
+		o.accounts.Settle(r.queue.account, r.kind, r.estimate, 0, false)
 		o.Stats.Lost++
 		delete(p.requests, n)
 	}
-	p.retire(p.inc)
+	p.retire(p.incarnation)
 }
 
 func (o *Owner) dropWaiting(p *peer) {
@@ -58,15 +60,15 @@
 		if r.waiting {
 			q := r.queue
 			o.dequeue(r)
-			o.release(r)
+			o.recycle(r)
 			if q.head == nil {
-				o.fair.Suspend(q.account)
+				o.accounts.Suspend(q.account)
 			}
 		}
 	}
 }
 
-// reconcile makes the records of the router equal to its report.
+// reconcile makes the records of the instance equal to its report.
 func (o *Owner) reconcile(p *peer, m *ReportMsg, now time.Duration) {
 	running := make(map[uint64]bool, len(m.Running))
 	for i := range m.Running {
@@ -76,102 +78,103 @@
 	for i := range m.Waiting {
 		waiting[m.Waiting[i].N] = true
 	}
-	var gone []*request
+	var withdrawn []*request
 	for n, r := range p.requests {
 		switch {
 		case running[n]:
 		case r.waiting && waiting[n]:
 		case r.waiting:
-			gone = append(gone, r)
-		case waiting[n]: // the grant was lost, or is void by this report
+			withdrawn = append(withdrawn, r)
+		case waiting[n]: // the grant was lost, or this report invalidates it
 			o.refund(r, now)
 		default:
-			o.vanish(r, now)
+			o.settleUnreported(r, now)
 		}
 	}
 	for i := range m.Running {
-		o.adopt(p, &m.Running[i], now)
+		o.adoptRunning(p, &m.Running[i], now)
 	}
 	for i := range m.Waiting {
-		o.add(p, &m.Waiting[i], now)
+		o.addWaiting(p, &m.Waiting[i], now)
 	}
-	// Last, so that a workspace whose requests were only renumbered does not
-	// seem idle and lose its place.
-	for _, r := range gone {
+	// Last, so that a workspace whose requests were only renumbered is not
+	// deactivated in between, which would lose its credit.
+	for _, r := range withdrawn {
 		o.dequeue(r)
-		o.release(r)
+		o.recycle(r)
 	}
 }
 
-// vanish handles a request that the router no longer has and whose end was lost.
-func (o *Owner) vanish(r *request, now time.Duration) {
+// settleUnreported ends a started request that the instance no longer has and whose
+// outcome was lost.
+func (o *Owner) settleUnreported(r *request, now time.Duration) {
 	o.Stats.Lost++
-	o.fair.Settle(r.queue.account, r.kind, r.estimate, 0, false)
-	o.lim.Discard(&r.work, now)
-	o.release(r)
+	o.accounts.Settle(r.queue.account, r.kind, r.estimate, 0, false)
+	o.targets.Discard(&r.work, now)
+	o.recycle(r)
 }
 
-// adopt takes over running work of a report.
-func (o *Owner) adopt(p *peer, x *Running, now time.Duration) {
+// adoptRunning takes over running work from a report.
+func (o *Owner) adoptRunning(p *peer, x *Running, now time.Duration) {
 	r := p.requests[x.N]
 	if r != nil && r.waiting {
-		o.dequeue(r) // granted by a former owner with the same records
-		o.release(r)
+		o.dequeue(r) // granted by a former owner that had the same records
+		o.recycle(r)
 		r = nil
 	}
 	if r != nil && r.work.Target() != nil {
-		o.lim.Restore(&r.work, now)
+		o.targets.Restore(&r.work, now)
 		if x.Confirmed {
-			o.lim.Acknowledge(&r.work, now)
+			o.targets.Acknowledge(&r.work, now)
 		}
 		return
 	}
 	if r == nil {
 		q := o.queueOf(x.Workspace)
 		r = o.newRequest()
-		*r = request{n: x.N, peer: p, queue: q, kind: fairness.Kind(x.Class), estimate: x.Estimate}
+		*r = request{number: x.N, peer: p, queue: q, kind: fairness.Kind(x.Class), estimate: x.Estimate}
 		p.requests[x.N] = r
-		o.fair.Adopt(q.account)
+		o.accounts.Adopt(q.account)
 	}
-	if t := o.lim.Target(x.Target); t != nil {
+	if t := o.targets.Target(x.Target); t != nil {
 		age := min(time.Duration(x.AgeMs)*time.Millisecond, t.RequestLimit)
-		o.lim.Adopt(t, &r.work, now-age, x.Confirmed, now)
+		o.targets.Adopt(t, &r.work, now-age, x.Confirmed, now)
 	}
 }
 
-// offer keeps the newest copy of the virtual service table until the start, with
-// the service that the routers with this copy have given since.
-func (o *Owner) offer(p *peer, m *ReportMsg) {
+// recordTable keeps, until the owner opens, the newest copy of the virtual service
+// table and the service that each instance has reported since its copy.
+func (o *Owner) recordTable(p *peer, m *ReportMsg) {
 	if o.open || m.Table.Epoch > o.epoch {
 		return
 	}
-	p.usage, p.copyEpoch, p.copySeq = m.Since, m.Table.Epoch, m.Table.Seq
-	if m.Table.Newer(&o.table) {
-		o.table = m.Table
+	p.serviceSinceTable, p.tableEpoch, p.tableSeq = m.Since, m.Table.Epoch, m.Table.Seq
+	if m.Table.Newer(&o.newestTable) {
+		o.newestTable = m.Table
 	}
 }
 
-// rebuildAccounts makes the accounts from what the routers offered. It does not
-// miss service that was given after the newest copy of the table was sent.
+// rebuildAccounts loads the accounts from the newest copy of the virtual service
+// table in the reports and adds the service rendered since that copy was sent.
 func (o *Owner) rebuildAccounts() {
-	o.fair.Load(o.table.Virtual, o.table.Rows)
-	for _, p := range o.order {
-		if p.copyEpoch == o.table.Epoch && p.copySeq == o.table.Seq {
-			for _, u := range p.usage {
-				o.fair.Credit(u.Workspace, u.Service)
+	o.accounts.Load(o.newestTable.Virtual, o.newestTable.Rows)
+	for _, p := range o.sortedPeers {
+		if p.tableEpoch == o.newestTable.Epoch && p.tableSeq == o.newestTable.Seq {
+			for _, u := range p.serviceSinceTable {
+				o.accounts.Credit(u.Workspace, u.Service)
 			}
 		}
-		p.usage = nil
+		p.serviceSinceTable = nil
 	}
-	o.table = ServiceMsg{}
+	o.newestTable = ServiceMsg{}
 }
 
-// tryOpen starts granting once every instance has reported or holds no lease.
+// tryOpen opens the owner once every instance has reported or holds no lease.
 func (o *Owner) tryOpen(now time.Duration) {
 	if o.open {
 		return
 	}
-	for _, p := range o.order {
+	for _, p := range o.sortedPeers {
 		if !p.reported && !p.lost {
 			return
 		}
@@ -181,71 +184,73 @@
 	o.note(Note{Step: "open"})
 }
 
-// Tick handles the passing of time. The function tells whether an instance may
-// still hold a lease.
+// Tick detects silent instances, opens the owner once it can, and advances the
+// targets and accounts. MayHold reports whether an instance may still hold a lease.
 func (o *Owner) Tick(now time.Duration, mayHold func(instance string) bool) {
-	for _, p := range o.order {
+	for _, p := range o.sortedPeers {
 		o.tickPeer(p, now, mayHold)
 	}
 	o.tryOpen(now)
-	if now-o.limTicked >= limitsEvery {
-		o.limTicked = now
-		o.lim.Tick(now)
+	if now-o.lastTargetTick >= targetTickInterval {
+		o.lastTargetTick = now
+		o.targets.Tick(now)
 	}
-	if now-o.forgot >= time.Second {
-		o.forgot = now
-		o.fair.Forget()
+	if now-o.lastForget >= time.Second {
+		o.lastForget = now
+		o.accounts.Forget()
 	}
 }
 
 func (o *Owner) tickPeer(p *peer, now time.Duration, mayHold func(string) bool) {
-	quiet, dead := now-p.heard, deadAfter
+	silence, maxSilence := now-p.lastReceivedAt, lostAfter
 	if !p.reported {
-		dead = unheardAfter
+		maxSilence = unreportedLostAfter
 	}
-	if quiet > dead && !p.lost && !mayHold(p.name) {
-		o.lose(p, now)
+	if silence > maxSilence && !p.lost && !mayHold(p.name) {
+		o.markLost(p, now)
 	}
 	if p.lost {
 		return
 	}
-	unacked := time.Duration(0)
-	if p.mark != 0 {
-		unacked = now - p.markAt
+	ackWait := time.Duration(0)
+	if p.awaitedAck != 0 {
+		ackWait = now - p.awaitingSince
 	}
-	if p.waiting > 0 && (quiet > staleAfter || unacked > ackLimit) {
+	if p.waiting > 0 && (silence > maxGrantSilence || ackWait > maxGrantAckTime) {
 		o.dropWaiting(p)
-		p.synced = false
+		p.inSync = false
 	}
-	if len(p.requests) > 0 && (quiet > suspectAfter || unacked > suspectAfter) {
+	if len(p.requests) > 0 && (silence > suspectAfter || ackWait > suspectAfter) {
 		o.suspect(p, now)
 	}
-	if !p.synced {
-		o.ask(p, now)
+	if !p.inSync {
+		o.requestReport(p, now)
 	}
 }
 
-// suspect handles a silent router. Its confirmed work may end unnoticed, so the
-// targets' reports decide from now on. Work that is not confirmed may still be
-// started while the router holds a lease, and a report taken before its start
-// must not clear it; it follows in lose.
+// suspect handles an instance with requests that is silent or does not acknowledge
+// grants. Its confirmed work may end unreported, so from now on the targets' load
+// reports decide when it has ended. Unconfirmed work may still be started while the
+// instance holds a lease, and a load report from before its start must not clear
+// it; markLost orphans that work.
 func (o *Owner) suspect(p *peer, now time.Duration) {
-	p.synced = false
+	p.inSync = false
 	for _, r := range p.requests {
 		if r.work.Confirmed() {
-			o.lim.Orphan(&r.work, now)
+			o.targets.Orphan(&r.work, now)
 		}
 	}
 }
 
-// lose handles a router that holds no lease and is silent: its running work
-// counts on the targets until they report, and it has to report again.
-func (o *Owner) lose(p *peer, now time.Duration) {
+// markLost handles a silent instance without a lease: its running work counts on
+// the targets until their load reports clear it, and the instance must send a full
+// report before it gets grants again.
+func (o *Owner) markLost(p *peer, now time.Duration) {
 	o.dropWaiting(p)
 	for _, r := range p.requests {
-		o.lim.Orphan(&r.work, now)
+		o.targets.Orphan(&r.work, now)
 	}
-	p.lost, p.synced = true, false
+	p.lost, p.inSync = true, false
 	if p.reported || len(p.requests) > 0 {
 		o.note(Note{Step: "router lost", Peer: p.name})
 	}
--- a/internal/schedule/request.go
+++ b/internal/schedule/request.go
@@ -9,29 +9,30 @@
 
 // request is one announced request at the owner.
 type request struct {
-	n     uint64
-	peer  *peer
-	queue *queue
-	kind  int
-	hint  float64
-	avoid string
-
-	waiting  bool
-	since    time.Duration // when it was announced
-	estimate float64
-	work     limits.Work
+	number uint64
+	peer   *peer
+	queue  *ownerQueue
+	kind   int
+	hint   float64 // expected cost in cost units; 0 = none
+	avoid  string  // target to avoid if another has room; "" = none
+
+	waiting     bool
+	announcedAt time.Duration
+	estimate    float64
+	work        limits.Work
 
 	prev, next *request // in the queue, or in the free list
 }
 
-// queue holds the waiting requests of one workspace in order of arrival.
-type queue struct {
+// ownerQueue holds the announced waiting requests of one workspace, from all
+// instances, in order of arrival.
+type ownerQueue struct {
 	account    *fairness.Workspace
 	head, tail *request
 	length     int
 }
 
-func (q *queue) push(r *request) {
+func (q *ownerQueue) push(r *request) {
 	r.prev, r.next = q.tail, nil
 	if q.tail != nil {
 		q.tail.next = r
@@ -42,7 +43,7 @@
 	q.length++
 }
 
-func (q *queue) remove(r *request) {
+func (q *ownerQueue) remove(r *request) {
 	if r.prev != nil {
 		r.prev.next = r.next
 	} else {
@@ -57,60 +58,61 @@
 	q.length--
 }
 
-// peer is what the owner knows of one router.
+// peer is the owner's record of one instance.
 type peer struct {
 	name       string
 	dataCentre string
 
-	inc, gen, seq uint64
-	acked         uint64    // newest message acknowledged
-	retired       [4]uint64 // former incarnations whose late messages are ignored
-	clock         uint64
-	heard         time.Duration
-	synced        bool // every message since the last report has arrived
-	reported      bool // a report has arrived in this epoch
-	lost          bool // its running work counts as work of a dead router
-
-	want    bool // a full report is to be requested
-	asked   time.Duration
-	askedAt bool
-
-	requests           map[uint64]*request
-	waiting            int
-	names              map[string]uint64 // numbers of the target names sent in this generation
-	out                []Grant
-	dirty              bool
-	usage              []Usage // service it has given since its copy of the table
-	copyEpoch, copySeq uint64
-
-	sent   uint64 // grants sent in this generation, those in out included
-	mark   uint64 // value of sent that the router has yet to acknowledge
-	markAt time.Duration
+	incarnation, generation, seq uint64
+	lastAckSent                  uint64    // number of the newest message acknowledged
+	retiredIncarnations          [4]uint64 // earlier incarnations whose delayed messages are ignored
+	lastClock                    uint64
+	lastReceivedAt               time.Duration
+	inSync                       bool // every message since the last report was received
+	reported                     bool // a report was received in this epoch
+	lost                         bool // silent and without a lease; its running work is orphaned
+
+	wantReport        bool // the next message requests a full report
+	reportRequestedAt time.Duration
+	reportRequested   bool
+
+	requests             map[uint64]*request
+	waiting              int
+	targetRefs           map[string]uint64 // Ref by target name, for the names sent in this generation
+	pendingGrants        []Grant
+	flushDue             bool
+	serviceSinceTable    []Usage // reported service since its copy of the table
+	tableEpoch, tableSeq uint64
+
+	grantsSent    uint64 // in this generation, including pendingGrants
+	awaitedAck    uint64 // value of grantsSent that the instance has yet to acknowledge; 0 = none
+	awaitingSince time.Duration
 }
 
-// ackEvery is the number of messages that one acknowledgement covers. It only
-// bounds what the router keeps.
-const ackEvery = 8
+// messagesPerAck is the number of messages that one acknowledgement covers. It
+// only affects how many outcomes the instance keeps.
+const messagesPerAck = 8
 
-// ack returns the acknowledgement due with a message, or 0.
-func (p *peer) ack() uint64 {
-	if p.seq < p.acked+ackEvery {
+// takeAck returns the message number to acknowledge, or 0 if no acknowledgement is
+// due.
+func (p *peer) takeAck() uint64 {
+	if p.seq < p.lastAckSent+messagesPerAck {
 		return 0
 	}
-	p.acked = p.seq
+	p.lastAckSent = p.seq
 	return p.seq
 }
 
-func (p *peer) grant(r *request, target string) Grant {
-	if ref := p.names[target]; ref != 0 {
-		return Grant{N: r.n, Ref: ref, Estimate: r.estimate}
+func (p *peer) newGrant(r *request, target string) Grant {
+	if ref := p.targetRefs[target]; ref != 0 {
+		return Grant{N: r.number, Ref: ref, Estimate: r.estimate}
 	}
-	p.names[target] = uint64(len(p.names) + 1)
-	return Grant{N: r.n, Target: target, Estimate: r.estimate}
+	p.targetRefs[target] = uint64(len(p.targetRefs) + 1)
+	return Grant{N: r.number, Target: target, Estimate: r.estimate}
 }
 
 func (p *peer) isRetired(inc uint64) bool {
-	for _, x := range p.retired {
+	for _, x := range p.retiredIncarnations {
 		if x == inc && x != 0 {
 			return true
 		}
@@ -119,6 +121,6 @@
 }
 
 func (p *peer) retire(inc uint64) {
-	copy(p.retired[1:], p.retired[:len(p.retired)-1])
-	p.retired[0] = inc
+	copy(p.retiredIncarnations[1:], p.retiredIncarnations[:len(p.retiredIncarnations)-1])
+	p.retiredIncarnations[0] = inc
 }
--- a/internal/schedule/router.go
+++ b/internal/schedule/router.go
@@ -8,67 +8,76 @@
 )
 
 const (
-	// heartbeatBusy is the longest gap between two messages of a router with
-	// waiting or running requests. Grants echo its clock and are refused after
-	// echoLimit, and a silent router is suspected to be dead.
-	heartbeatBusy = 250 * time.Millisecond
-	// ackDelay bounds the time until a router with waiting requests acknowledges
-	// a grant.
-	ackDelay = 10 * time.Millisecond
-	// heartbeatIdle is the same for a router that has had requests within
-	// heartbeatTail.
-	heartbeatIdle = time.Second
-	// heartbeatTail makes sure that the loss of a last message is noticed.
-	heartbeatTail = 3 * time.Second
-	// echoLimit is the largest age of a clock value echoed by a grant.
-	echoLimit = time.Second
-	// regrantPause is the pause before a request whose grant was returned is
-	// announced again, so that two differing views do not exchange it in a loop.
-	regrantPause = 50 * time.Millisecond
-	// repeatPause is the time in which a second request for a report that was
-	// just sent is ignored.
-	repeatPause = 100 * time.Millisecond
-	// maxDone bounds the outcomes that no owner has acknowledged.
-	maxDone = 4096
+	// busyHeartbeatInterval is the longest interval between two messages of an
+	// instance with waiting or running requests. Grants echo the clock value of
+	// the last message and are refused once it is older than maxEchoedClockAge;
+	// the owner suspects a silent instance of having crashed.
+	busyHeartbeatInterval = 250 * time.Millisecond
+	// maxAckDelay bounds the time until an instance with waiting requests
+	// acknowledges a grant.
+	maxAckDelay = 10 * time.Millisecond
+	// idleHeartbeatInterval is the longest interval between two messages of an
+	// instance without requests, until idleHeartbeatDuration after the last
+	// activity.
+	idleHeartbeatInterval = time.Second
+	// idleHeartbeatDuration is how long heartbeats continue after the last
+	// activity, so that the owner detects the loss of the last message.
+	idleHeartbeatDuration = 3 * time.Second
+	// maxEchoedClockAge is the largest age of the clock value echoed by a grant
+	// that may still be used.
+	maxEchoedClockAge = time.Second
+	// reannounceDelay is the wait before a request whose grant was returned is
+	// announced again. Without it, an owner and an instance whose views differ
+	// would grant and return the request in a loop.
+	reannounceDelay = 50 * time.Millisecond
+	// reportRequestDedupTime is the time after a full report during which requests
+	// for a report are ignored that the owner sent before it received this one.
+	reportRequestDedupTime = 100 * time.Millisecond
+	// maxUnackedOutcomes bounds the outcomes kept until an owner acknowledges
+	// them. The older half is dropped when the bound is reached.
+	maxUnackedOutcomes = 4096
 )
 
-// Item is one waiting or running request on a router.
+// Item is one waiting or running request of an instance.
 type Item struct {
+	// N is the request's number on its instance, assigned when the request is
+	// announced to the owner; 0 before.
 	N      uint64
 	Demand api.Demand
-	// Data belongs to the user of the router.
+	// Data is for the caller of Enqueue; the package does not use it.
 	Data any
 
 	state      itemState
 	target     string
-	estimate   float64
-	confirmed  bool
-	queued     time.Duration
-	started    time.Duration
-	queue      *line
+	estimate   float64 // cost units
+	confirmed  bool    // the target responded and was warm
+	queuedAt   time.Duration
+	startedAt  time.Duration
+	queue      *entryQueue
 	prev, next *Item
 }
 
 type itemState uint8
 
 const (
-	stateHeld      itemState = iota // waiting, not announced
-	stateAnnounced                  // waiting, announced to the owner
+	stateUnannounced itemState = iota // waiting, not announced
+	stateAnnounced                    // waiting, announced to the owner
 	stateRunning
 	stateEnded
 )
 
-// Waiting reports whether the request waits for a grant.
+// Waiting reports whether the request is queued and has no grant.
 func (it *Item) Waiting() bool { return it.state <= stateAnnounced }
 
 // Started reports whether the request has a grant whose work has not ended.
 func (it *Item) Started() bool { return it.state == stateRunning }
 
-// Env answers what a grant is checked against.
+// Env provides the local state that a grant is checked against before use.
 type Env interface {
 	// LeaseValid reports whether this instance may dispatch now.
 	LeaseValid() bool
-	// Address returns the address of a target that this instance's view allows.
+	// Address returns the address of a target. It returns false if the instance's
+	// view does not list the target in the pool or has it out of service.
 	Address(pool, target string) (string, bool)
 }
 
@@ -78,55 +87,58 @@
 	api.Grant
 }
 
-// Router keeps the requests of one router for one pool.
+// Router queues the requests of one instance for one pool, announces them to the
+// owner of the pool and starts them on the owner's grants. It is not safe for
+// concurrent use.
 type Router struct {
-	pool string
-	inc  uint64
-
-	owner string
-	epoch uint64
-	gen   uint64
-	seq   uint64
-	got   uint64
-	acked uint64 // value of got in the last message
-	next  uint64
-
-	items  map[uint64]*Item // announced and running
-	lines  map[string]*line
+	pool        string
+	incarnation uint64
+
+	owner          string
+	epoch          uint64
+	generation     uint64
+	seq            uint64 // number of the last message in this generation
+	grantsReceived uint64 // in this generation
+	grantsAcked    uint64 // value of grantsReceived in the last message
+	lastNumber     uint64 // number of the request announced last
+
+	items  map[uint64]*Item // announced and running, by number
+	queues map[string]*entryQueue
 	queued int // waiting requests
 
-	out        DemandMsg
-	spare      DemandMsg
-	report     ReportMsg
-	mustReport bool
-	reported   time.Duration
-	sent       time.Duration
-	active     time.Duration
-	deadline   time.Duration // earliest deadline, 0 = none
-	table      ServiceMsg
-	since      map[string]float64 // service by workspace since the table was received
-	names      []string           // target names received in this generation
-	granted    []Granted
-	ended      []endedWork
+	pendingDemand     DemandMsg // changes not sent yet
+	sentDemand        DemandMsg // message returned by the last Flush
+	report            ReportMsg // buffer of full reports
+	reportDue         bool      // the next message is a full report
+	lastReportAt      time.Duration
+	lastSentAt        time.Duration
+	lastActiveAt      time.Duration
+	earliestDeadline  time.Duration // of all waiting requests, 0 = none
+	serviceTable      ServiceMsg
+	serviceSinceTable map[string]float64 // cost units by workspace
+	targetNames       []string           // received in this generation
+	granted           []Granted          // buffer of OnGrant
+	unackedOutcomes   []unackedOutcome
 }
 
-// endedWork is an outcome that the owner has not acknowledged.
-type endedWork struct {
+// unackedOutcome is an outcome that the owner has not acknowledged.
+type unackedOutcome struct {
 	Done
-	seq uint64 // message that carries it; 0 = the report of this generation
+	seq uint64 // number of the message that carries it; 0 = this generation's report
 }
 
-// NewRouter returns an empty router. The incarnation differs between any two
-// processes of one instance.
+// NewRouter returns a router without requests and without an owner. The caller
+// must choose an incarnation that differs from those of all other pools and all
+// earlier processes of the instance.
 func NewRouter(pool string, incarnation uint64) *Router {
-	return &Router{pool: pool, inc: incarnation, items: map[uint64]*Item{},
-		lines: map[string]*line{}, since: map[string]float64{}}
+	return &Router{pool: pool, incarnation: incarnation, items: map[uint64]*Item{},
+		queues: map[string]*entryQueue{}, serviceSinceTable: map[string]float64{}}
 }
 
 // Queued returns the number of waiting requests.
 func (r *Router) Queued() int { return r.queued }
 
-// Running returns the number of requests with a grant.
+// Running returns the number of requests that have a grant and have not ended.
 func (r *Router) Running() int {
 	n := 0
 	for _, it := range r.items {
@@ -137,79 +149,86 @@
 	return n
 }
 
-// Incarnation returns the number that tells this router from others.
-func (r *Router) Incarnation() uint64 { return r.inc }
+// Incarnation returns the number given to NewRouter.
+func (r *Router) Incarnation() uint64 { return r.incarnation }
 
-// Owner returns the owner that the router sends to, and its epoch.
+// Owner returns the instance that owns the pool, as known here, and its epoch.
+// The name is empty if no owner is known.
 func (r *Router) Owner() (string, uint64) { return r.owner, r.epoch }
 
-// SetOwner notes the owner of the pool. A new owner gets a full report.
+// SetOwner sets the owner of the pool, to which the next message is a full
+// report. It ignores an owner that is already set and those of earlier epochs.
 func (r *Router) SetOwner(owner string, epoch uint64) {
 	if epoch < r.epoch || (epoch == r.epoch && owner == r.owner) {
 		return
 	}
 	r.owner, r.epoch = owner, epoch
-	r.ended = r.ended[:0] // a new owner knows nothing of them; see since
+	r.unackedOutcomes = r.unackedOutcomes[:0] // a new owner has no record of them; serviceSinceTable holds their cost
 	r.requireReport()
 }
 
-// requireReport voids the messages not sent yet: the report replaces them.
+// requireReport schedules a full report and drops the changes not sent yet, which
+// the report includes.
 func (r *Router) requireReport() {
-	r.mustReport = true
-	r.out.clear()
+	r.reportDue = true
+	r.pendingDemand.clear()
 }
 
-// Lost tells the router that a message was not sent.
+// Lost handles a message from Flush that could not be sent: the next message is a
+// full report.
 func (r *Router) Lost() { r.requireReport() }
 
-// inStep reports whether changes are sent one by one.
-func (r *Router) inStep() bool { return r.owner != "" && !r.mustReport }
+// sendsChanges reports whether changes are sent as increments rather than in the
+// next full report.
+func (r *Router) sendsChanges() bool { return r.owner != "" && !r.reportDue }
 
-// Enqueue adds a request. With limit or more waiting requests of the workspace
-// it returns nil and the time after which a retry is sensible.
+// Enqueue adds a request to the queue of its workspace. If limit or more requests
+// of the workspace are waiting, it returns nil and the time after which the caller
+// should retry.
 func (r *Router) Enqueue(d api.Demand, limit int, now time.Duration) (*Item, time.Duration) {
-	l := r.lines[d.Workspace]
-	if l == nil {
-		l = &line{workspace: d.Workspace}
-		r.lines[d.Workspace] = l
+	q := r.queues[d.Workspace]
+	if q == nil {
+		q = &entryQueue{workspace: d.Workspace}
+		r.queues[d.Workspace] = q
 	}
-	if l.length() >= limit {
-		return nil, l.retryAfter()
+	if q.waiting() >= limit {
+		return nil, q.retryAfter()
 	}
-	it := &Item{Demand: d, queued: now, queue: l}
-	l.held.pushBack(it)
+	it := &Item{Demand: d, queuedAt: now, queue: q}
+	q.unannounced.pushBack(it)
 	r.queued++
-	r.active = now
-	if d.Deadline > 0 && (r.deadline == 0 || d.Deadline < r.deadline) {
-		r.deadline = d.Deadline
+	r.lastActiveAt = now
+	if d.Deadline > 0 && (r.earliestDeadline == 0 || d.Deadline < r.earliestDeadline) {
+		r.earliestDeadline = d.Deadline
 	}
-	r.announce(l, now)
+	r.announce(q, now)
 	return it, 0
 }
 
-// announce fills the window of a workspace.
-func (r *Router) announce(l *line, now time.Duration) {
-	if now < l.pausedUntil {
+// announce announces requests of a workspace until Window of them are announced.
+func (r *Router) announce(q *entryQueue, now time.Duration) {
+	if now < q.announceAfter {
 		return
 	}
-	for l.announced.length < Window && l.held.head != nil {
-		it := l.held.head
-		l.held.remove(it)
-		r.next++
-		it.N, it.state = r.next, stateAnnounced
-		l.announced.pushBack(it)
+	for q.announced.length < Window && q.unannounced.head != nil {
+		it := q.unannounced.head
+		q.unannounced.remove(it)
+		r.lastNumber++
+		it.N, it.state = r.lastNumber, stateAnnounced
+		q.announced.pushBack(it)
 		r.items[it.N] = it
-		if r.inStep() {
-			r.out.Added = append(r.out.Added, it.add())
+		if r.sendsChanges() {
+			r.pendingDemand.Added = append(r.pendingDemand.Added, it.announcement())
 		}
 	}
 }
 
-func (it *Item) add() Add {
+func (it *Item) announcement() Add {
 	return Add{it.N, it.Demand.Workspace, it.Demand.Class, it.Demand.Hint, it.Demand.Avoid}
 }
 
-// Cancel takes a request out of the queue, or ends its grant as not started.
+// Cancel removes a waiting request from the queue, or returns the grant of a
+// started one unused. It does nothing for a request that has ended.
 func (r *Router) Cancel(it *Item, now time.Duration) {
 	switch it.state {
 	case stateRunning:
@@ -218,48 +237,52 @@
 	case stateEnded:
 		return
 	}
-	r.leaveQueue(it, now)
+	r.removeWaiting(it, now)
 	it.state = stateEnded
 	r.announce(it.queue, now)
-	r.dropLine(it.queue)
+	r.removeIfUnused(it.queue)
 }
 
-// leaveQueue takes a waiting request out of its line and tells the owner.
-func (r *Router) leaveQueue(it *Item, now time.Duration) {
+// removeWaiting removes a waiting request from its queue and reports the
+// cancellation to the owner.
+func (r *Router) removeWaiting(it *Item, now time.Duration) {
 	r.queued--
-	r.active = now
-	if it.state == stateHeld {
-		it.queue.held.remove(it)
+	r.lastActiveAt = now
+	if it.state == stateUnannounced {
+		it.queue.unannounced.remove(it)
 		return
 	}
 	it.queue.announced.remove(it)
 	delete(r.items, it.N)
-	if r.inStep() {
-		r.out.Cancelled = append(r.out.Cancelled, it.N)
+	if r.sendsChanges() {
+		r.pendingDemand.Cancelled = append(r.pendingDemand.Cancelled, it.N)
 	}
-	// A grant may be on its way, and the cancel may be lost.
-	r.keep(Done{it.N, api.Outcome{Result: api.ResultNotStarted}})
+	// A grant may be in flight, and the cancellation may be lost.
+	r.retainOutcome(Done{it.N, api.Outcome{Result: api.ResultNotStarted}})
 }
 
-func (r *Router) dropLine(l *line) {
-	if l.length() == 0 && l.interval == 0 {
-		delete(r.lines, l.workspace)
+func (r *Router) removeIfUnused(q *entryQueue) {
+	if q.waiting() == 0 && q.meanGrantInterval == 0 {
+		delete(r.queues, q.workspace)
 	}
 }
 
-// Confirm reports the first byte of the response.
+// Confirm reports the first byte of the response to the owner, with the target's
+// warmth and boot number. It does nothing if the request has not started or is
+// already confirmed as warm.
 func (r *Router) Confirm(it *Item, w api.Warmth, boot uint64, now time.Duration) {
 	if it.state != stateRunning || it.confirmed {
 		return
 	}
 	it.confirmed = w == api.WarmthWarm
-	r.active = now
-	if r.inStep() {
-		r.out.Confirmed = append(r.out.Confirmed, Confirm{it.N, w, boot})
+	r.lastActiveAt = now
+	if r.sendsChanges() {
+		r.pendingDemand.Confirmed = append(r.pendingDemand.Confirmed, Confirm{it.N, w, boot})
 	}
 }
 
-// Done ends the work on a grant.
+// Done ends a started request and reports its outcome to the owner. It does
+// nothing if the request has not started.
 func (r *Router) Done(it *Item, o api.Outcome, now time.Duration) {
 	if it.state != stateRunning {
 		return
@@ -267,58 +290,60 @@
 	it.state = stateEnded
 	delete(r.items, it.N)
 	if o.Result == api.ResultNotStarted {
-		r.account(it, -it.estimate)
+		r.addService(it, -it.estimate)
 	} else if o.Cost > 0 {
-		r.account(it, o.Cost-it.estimate)
+		r.addService(it, o.Cost-it.estimate)
 	}
-	r.finish(it.N, o, now)
+	r.recordOutcome(it.N, o, now)
 }
 
-func (r *Router) finish(n uint64, o api.Outcome, now time.Duration) {
-	r.active = now
+func (r *Router) recordOutcome(n uint64, o api.Outcome, now time.Duration) {
+	r.lastActiveAt = now
 	d := Done{n, o}
-	r.keep(d)
-	if r.inStep() {
-		r.out.Done = append(r.out.Done, d)
+	r.retainOutcome(d)
+	if r.sendsChanges() {
+		r.pendingDemand.Done = append(r.pendingDemand.Done, d)
 	}
 }
 
-// keep holds the outcome until the owner has acknowledged it, because a lost
-// outcome leaves an estimate in place of the true cost.
-func (r *Router) keep(d Done) {
-	if len(r.ended) == maxDone {
-		r.ended = append(r.ended[:0], r.ended[maxDone/2:]...)
+// retainOutcome keeps the outcome until the owner has acknowledged it, because a
+// lost outcome leaves an estimate in place of the true cost.
+func (r *Router) retainOutcome(d Done) {
+	if len(r.unackedOutcomes) == maxUnackedOutcomes {
+		r.unackedOutcomes = append(r.unackedOutcomes[:0], r.unackedOutcomes[maxUnackedOutcomes/2:]...)
 	}
-	r.ended = append(r.ended, endedWork{d, r.seq + 1})
+	r.unackedOutcomes = append(r.unackedOutcomes, unackedOutcome{d, r.seq + 1})
 }
 
-// acknowledge drops the outcomes that the owner has.
-func (r *Router) acknowledge(seq uint64) {
+// dropAcknowledged drops the outcomes that the owner has received in messages up
+// to seq.
+func (r *Router) dropAcknowledged(seq uint64) {
 	n := 0
-	for n < len(r.ended) && r.ended[n].seq <= seq {
+	for n < len(r.unackedOutcomes) && r.unackedOutcomes[n].seq <= seq {
 		n++
 	}
 	if n > 0 {
-		r.ended = r.ended[:copy(r.ended, r.ended[n:])]
+		r.unackedOutcomes = r.unackedOutcomes[:copy(r.unackedOutcomes, r.unackedOutcomes[n:])]
 	}
 }
 
-// OnService keeps the newest copy of the virtual service table. The router keeps
-// the message.
+// OnService handles a copy of the virtual service table and keeps the newest one.
+// The router retains the message; the caller must not change it afterwards.
 func (r *Router) OnService(m *ServiceMsg) {
-	if !m.Newer(&r.table) {
+	if !m.Newer(&r.serviceTable) {
 		return
 	}
-	r.keepLearned(m)
-	r.table = *m
-	clear(r.since)
+	r.fillLearnedMeans(m)
+	r.serviceTable = *m
+	clear(r.serviceSinceTable)
 }
 
-// keepLearned fills in the learned means, which most copies leave out.
-func (r *Router) keepLearned(m *ServiceMsg) {
-	known := make(map[string]*fairness.Row, len(r.table.Rows))
-	for i := range r.table.Rows {
-		known[r.table.Rows[i].Workspace] = &r.table.Rows[i]
+// fillLearnedMeans copies the learned mean costs from the previous table, because
+// most copies omit them.
+func (r *Router) fillLearnedMeans(m *ServiceMsg) {
+	known := make(map[string]*fairness.Row, len(r.serviceTable.Rows))
+	for i := range r.serviceTable.Rows {
+		known[r.serviceTable.Rows[i].Workspace] = &r.serviceTable.Rows[i]
 	}
 	for i := range m.Rows {
 		if old := known[m.Rows[i].Workspace]; old != nil && m.Rows[i].Learned == [fairness.Kinds]float64{} {
@@ -327,91 +352,94 @@
 	}
 }
 
-// account notes service that the table does not contain yet.
-func (r *Router) account(it *Item, service float64) {
-	r.since[it.Demand.Workspace] += service
+// addService adds service, in cost units, that the table does not contain yet.
+func (r *Router) addService(it *Item, service float64) {
+	r.serviceSinceTable[it.Demand.Workspace] += service
 }
 
-// OnGrant handles a message of the owner and returns the requests that may
-// start. The slice is valid until the next call.
+// OnGrant handles a message of the owner and returns the requests that may start.
+// Messages of earlier epochs are ignored; a later epoch replaces the owner. Grants
+// that must not be used are returned to the owner. The slice is valid until the
+// next call.
 func (r *Router) OnGrant(from string, m *GrantMsg, now time.Duration, env Env) []Granted {
 	r.granted = r.granted[:0]
 	if m.Epoch < r.epoch {
 		return nil
 	}
 	r.SetOwner(from, m.Epoch)
-	if m.Inc == r.inc && m.Gen == r.gen && !r.mustReport {
-		r.acknowledge(m.Ack)
-		r.takeGrants(m, now, env)
+	if m.Inc == r.incarnation && m.Gen == r.generation && !r.reportDue {
+		r.dropAcknowledged(m.Ack)
+		r.applyGrants(m, now, env)
 	}
-	unanswered := m.Inc == r.inc && m.Gen >= r.gen
-	if m.Want && (unanswered || now-r.reported >= repeatPause) {
+	wantsNewer := m.Inc == r.incarnation && m.Gen >= r.generation
+	if m.Want && (wantsNewer || now-r.lastReportAt >= reportRequestDedupTime) {
 		r.requireReport()
 	}
 	return r.granted
 }
 
-func (r *Router) takeGrants(m *GrantMsg, now time.Duration, env Env) {
-	if m.First > r.got {
-		r.requireReport() // a message was lost, or this one has overtaken it
+func (r *Router) applyGrants(m *GrantMsg, now time.Duration, env Env) {
+	if m.First > r.grantsReceived {
+		r.requireReport() // an earlier message was lost or overtaken by this one
 		return
 	}
-	if m.First+uint64(len(m.List)) <= r.got {
+	if m.First+uint64(len(m.List)) <= r.grantsReceived {
 		return
 	}
-	fresh := m.List[r.got-m.First:]
-	r.got += uint64(len(fresh))
+	newGrants := m.List[r.grantsReceived-m.First:]
+	r.grantsReceived += uint64(len(newGrants))
 	clock := toMs(now)
-	young := m.Clock <= clock && clock-m.Clock <= toMs(echoLimit)
-	for i := range fresh {
-		if !r.resolve(&fresh[i]) {
+	clockFresh := m.Clock <= clock && clock-m.Clock <= toMs(maxEchoedClockAge)
+	for i := range newGrants {
+		if !r.resolveTarget(&newGrants[i]) {
 			r.requireReport()
 			return
 		}
-		r.takeGrant(&fresh[i], young && env.LeaseValid(), now, env)
+		r.applyGrant(&newGrants[i], clockFresh && env.LeaseValid(), now, env)
 	}
 }
 
-// resolve fills in the name of the target.
-func (r *Router) resolve(g *Grant) bool {
+// resolveTarget fills in the name of the target and returns false if the grant
+// refers to a name that was not received.
+func (r *Router) resolveTarget(g *Grant) bool {
 	if g.Target != "" {
-		r.names = append(r.names, g.Target)
+		r.targetNames = append(r.targetNames, g.Target)
 		return true
 	}
-	if g.Ref == 0 || g.Ref > uint64(len(r.names)) {
+	if g.Ref == 0 || g.Ref > uint64(len(r.targetNames)) {
 		return false
 	}
-	g.Target = r.names[g.Ref-1]
+	g.Target = r.targetNames[g.Ref-1]
 	return true
 }
 
-func (r *Router) takeGrant(g *Grant, usable bool, now time.Duration, env Env) {
+func (r *Router) applyGrant(g *Grant, usable bool, now time.Duration, env Env) {
 	it := r.items[g.N]
 	if it == nil || it.state != stateAnnounced {
-		r.finish(g.N, api.Outcome{Result: api.ResultNotStarted}, now) // cancelled meanwhile
+		r.recordOutcome(g.N, api.Outcome{Result: api.ResultNotStarted}, now) // cancelled before the grant arrived
 		return
 	}
 	address, ok := "", false
 	if usable {
 		address, ok = env.Address(r.pool, g.Target)
 	}
-	l := it.queue
-	l.announced.remove(it)
+	q := it.queue
+	q.announced.remove(it)
 	if !ok {
 		delete(r.items, it.N)
-		r.finish(it.N, api.Outcome{Result: api.ResultNotStarted}, now)
-		it.state = stateHeld
-		l.held.pushFront(it)
-		l.pausedUntil = now + regrantPause
+		r.recordOutcome(it.N, api.Outcome{Result: api.ResultNotStarted}, now)
+		it.state = stateUnannounced
+		q.unannounced.pushFront(it)
+		q.announceAfter = now + reannounceDelay
 		return
 	}
 	r.queued--
-	r.active = now
-	l.served(now)
-	it.state, it.target, it.estimate, it.started = stateRunning, g.Target, g.Estimate, now
-	r.account(it, g.Estimate)
+	r.lastActiveAt = now
+	q.recordGrant(now)
+	it.state, it.target, it.estimate, it.startedAt = stateRunning, g.Target, g.Estimate, now
+	r.addService(it, g.Estimate)
 	r.granted = append(r.granted, Granted{it, api.Grant{Target: g.Target, Address: address, Epoch: r.epoch}})
-	r.announce(l, now)
+	r.announce(q, now)
 }
 
 func toMs(d time.Duration) uint64 { return uint64(max(0, d) / time.Millisecond) }
--- a/internal/schedule/sim_test.go
+++ b/internal/schedule/sim_test.go
@@ -11,15 +11,16 @@
 	"nutmegrouter/internal/limits"
 )
 
-// The simulation runs routers, one owner and targets in simulated time. Every
-// message is encoded and decoded. The targets check what reaches them.
+// The simulation runs instances, one owner and targets in simulated time. Every
+// message is encoded and decoded. The targets check that their capacity is never
+// exceeded.
 
 const (
-	ms       = time.Millisecond
-	simLag   = 2 * time.Second // largest lag of a load report
-	simLease = 2 * time.Second
-	poolName = "matcher-llm"
-	envelope = 56 // bytes of a JSON-RPC notification around its parameters
+	ms            = time.Millisecond
+	simReportLag  = 2 * time.Second // largest lag of a load report
+	simLeaseTime  = 2 * time.Second
+	poolName      = "matcher-llm"
+	envelopeBytes = 56 // bytes of a JSON-RPC notification around its parameters
 )
 
 type event struct {
@@ -44,77 +45,77 @@
 }
 
 type sim struct {
-	now     time.Duration
-	rng     *rand.Rand
-	queue   events
-	seq     int
-	routers []*simRouter
-	targets []*simTarget
-	byName  map[string]*simTarget
-	weights map[string]float64
-
-	owner   *Owner
-	at      string // instance of the owner
-	epoch   uint64
-	faults  bool // messages are lost, doubled, delayed
-	out     map[string]bool
-	leaving map[string]bool
-	granted map[string]float64 // true cost of started work by workspace
-	done    map[string]float64 // true cost of ended work by workspace
-	ended   map[string]int
-	onStart func(*simJob)
-	onEnd   func(*simJob)
-	sent    map[string]int // bytes by sender
-	faulty  []string
-}
-
-type simRouter struct {
+	now       time.Duration
+	rng       *rand.Rand
+	events    events
+	eventSeq  int
+	instances []*simInstance
+	targets   []*simTarget
+	byName    map[string]*simTarget
+	weights   map[string]float64
+
+	owner          *Owner
+	ownerName      string // instance that runs the owner, "" = none
+	epoch          uint64
+	networkFaults  bool // messages are lost, duplicated and delayed
+	dataCentresOut map[string]bool
+	leaving        map[string]bool
+	grantedCost    map[string]float64 // true cost of started work by workspace
+	servedCost     map[string]float64 // true cost of the work done by workspace
+	completions    map[string]int
+	onStart        func(*simJob)
+	onEnd          func(*simJob)
+	sentBytes      map[string]int // by sender
+	violations     []string
+}
+
+type simInstance struct {
 	*sim
-	r        *Router
-	name     string
-	dc       string
-	inc      uint64
-	alive    bool
-	died     time.Duration
-	flushing bool
+	router         *Router
+	name           string
+	dataCentre     string
+	incarnation    uint64
+	alive          bool
+	crashedAt      time.Duration
+	flushScheduled bool
 }
 
 type simJob struct {
-	router *simRouter
-	inc    uint64
-	item   *Item
-	ws     string
-	cost   float64
-	queued time.Duration
-	begun  time.Duration
-	boot   uint64
-	atCold bool // the target was cold when the work arrived
-}
-
-// simTarget serves rate cost units a second on each slot.
+	instance    *simInstance
+	incarnation uint64
+	item        *Item
+	workspace   string
+	cost        float64
+	queuedAt    time.Duration
+	startedAt   time.Duration
+	boot        uint64
+	startedCold bool // the target was cold at the start
+}
+
+// simTarget completes rate cost units per second in each slot.
 type simTarget struct {
 	*sim
-	name, dc   string
-	warm, cold int
-	rate       float64
-	isCold     bool
-	coldSince  time.Duration
-	coldFor    time.Duration
-	boot       uint64
-	jobs       map[*simJob]bool
-	lastNew    time.Duration
-	peakCold   int
-	peak       int
-	history    []limits.Report // one entry each 100 ms, the newest last
-}
-
-func newSim(seed uint64, routers int) *sim {
+	name, dataCentre           string
+	warmCapacity, coldCapacity int
+	rate                       float64
+	isCold                     bool
+	coldSince                  time.Duration
+	coldDuration               time.Duration
+	boot                       uint64
+	jobs                       map[*simJob]bool
+	lastStartAt                time.Duration
+	peakCold                   int
+	peak                       int
+	reports                    []limits.Report // one per 100 ms, the newest last
+}
+
+func newSim(seed uint64, instances int) *sim {
 	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), byName: map[string]*simTarget{}, weights: map[string]float64{},
-		out: map[string]bool{}, leaving: map[string]bool{}, sent: map[string]int{}, granted: map[string]float64{}, done: map[string]float64{}, ended: map[string]int{}}
-	for i := range routers {
-		r := &simRouter{sim: s, name: fmt.Sprintf("r%d", i), dc: fmt.Sprintf("dc%d", i%2), alive: true, inc: uint64(i + 500001)}
-		r.r = NewRouter(poolName, r.inc)
-		s.routers = append(s.routers, r)
+		dataCentresOut: map[string]bool{}, leaving: map[string]bool{}, sentBytes: map[string]int{}, grantedCost: map[string]float64{}, servedCost: map[string]float64{}, completions: map[string]int{}}
+	for i := range instances {
+		r := &simInstance{sim: s, name: fmt.Sprintf("r%d", i), dataCentre: fmt.Sprintf("dc%d", i%2), alive: true, incarnation: uint64(i + 500001)}
+		r.router = NewRouter(poolName, r.incarnation)
+		s.instances = append(s.instances, r)
 		s.every(20*ms, r.tick)
 	}
 	s.every(10*ms, s.tickOwner)
@@ -126,8 +127,8 @@
 func (s *sim) addTargets(n, warm, cold int, rate float64) {
 	for range n {
 		i := len(s.targets)
-		t := &simTarget{sim: s, name: fmt.Sprintf("matcher-llm-%d", i), dc: fmt.Sprintf("dc%d", i%2), warm: warm, cold: cold,
-			rate: rate, boot: 1, isCold: true, coldFor: time.Second, jobs: map[*simJob]bool{}}
+		t := &simTarget{sim: s, name: fmt.Sprintf("matcher-llm-%d", i), dataCentre: fmt.Sprintf("dc%d", i%2), warmCapacity: warm, coldCapacity: cold,
+			rate: rate, boot: 1, isCold: true, coldDuration: time.Second, jobs: map[*simJob]bool{}}
 		s.targets = append(s.targets, t)
 		s.byName[t.name] = t
 		s.every(100*ms, t.sample)
@@ -135,8 +136,8 @@
 }
 
 func (s *sim) after(d time.Duration, do func()) {
-	s.seq++
-	heap.Push(&s.queue, event{s.now + d, s.seq, do})
+	s.eventSeq++
+	heap.Push(&s.events, event{s.now + d, s.eventSeq, do})
 }
 
 func (s *sim) every(d time.Duration, do func()) {
@@ -145,36 +146,37 @@
 
 func (s *sim) run(d time.Duration) {
 	end := s.now + d
-	for len(s.queue) > 0 && s.queue[0].at <= end {
-		e := heap.Pop(&s.queue).(event)
+	for len(s.events) > 0 && s.events[0].at <= end {
+		e := heap.Pop(&s.events).(event)
 		s.now = e.at
 		e.do()
 	}
 	s.now = end
 }
 
-func (s *sim) fault(format string, args ...any) {
-	if len(s.faulty) < 5 {
-		s.faulty = append(s.faulty, fmt.Sprintf("at %v: ", s.now)+fmt.Sprintf(format, args...))
+func (s *sim) violation(format string, args ...any) {
+	if len(s.violations) < 5 {
+		s.violations = append(s.violations, fmt.Sprintf("at %v: ", s.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-// setOwner moves ownership; an empty name means that nobody owns the pool.
+// setOwner moves ownership of the pool to an instance, or to none if the name is
+// empty.
 func (s *sim) setOwner(at string) {
-	s.owner, s.at = nil, at
+	s.owner, s.ownerName = nil, at
 	if at == "" {
 		return
 	}
 	s.epoch++
-	zones := map[string]string{}
-	for _, r := range s.routers {
-		zones[r.name] = r.dc
+	dataCentres := map[string]string{}
+	for _, r := range s.instances {
+		dataCentres[r.name] = r.dataCentre
 	}
-	s.owner = NewOwner(poolName, s.epoch, zones, s.now)
+	s.owner = NewOwner(poolName, s.epoch, dataCentres, s.now)
 	s.configure()
-	for _, r := range s.routers {
+	for _, r := range s.instances {
 		if r.alive {
-			r.r.SetOwner(at, s.epoch)
+			r.router.SetOwner(at, s.epoch)
 		}
 	}
 	s.after(2*ms, s.poll)
@@ -183,19 +185,19 @@
 func (s *sim) configure() {
 	var cs []limits.Config
 	for _, t := range s.targets {
-		cs = append(cs, limits.Config{Name: t.name, DataCentre: t.dc, WarmCapacity: t.warm, ColdCapacity: t.cold,
-			EvidenceLife: 10 * time.Second, ReportLag: simLag, RequestLimit: 10 * time.Minute})
+		cs = append(cs, limits.Config{Name: t.name, DataCentre: t.dataCentre, WarmCapacity: t.warmCapacity, ColdCapacity: t.coldCapacity,
+			EvidenceLife: 10 * time.Second, ReportLag: simReportLag, RequestLimit: 10 * time.Minute})
 	}
 	s.owner.SetWeights(s.weights)
 	s.owner.Limits().Configure(cs, s.now)
-	s.owner.Limits().SetOut(s.out, s.now)
+	s.owner.Limits().SetOut(s.dataCentresOut, s.now)
 	s.owner.Limits().SetLeaving(s.leaving, s.now)
 }
 
 func (s *sim) mayHold(name string) bool {
-	for _, r := range s.routers {
+	for _, r := range s.instances {
 		if r.name == name {
-			return r.alive || s.now-r.died < simLease
+			return r.alive || s.now-r.crashedAt < simLeaseTime
 		}
 	}
 	return false
@@ -210,23 +212,23 @@
 	if s.now%time.Second == 0 {
 		m := &ServiceMsg{}
 		sent := s.owner.Service(m, false)
-		for _, r := range s.routers {
+		for _, r := range s.instances {
 			if !sent {
 				break
 			}
-			s.deliver(s.at, r.name, m, func(b []byte) {
+			s.deliver(s.ownerName, r.name, m, func(b []byte) {
 				var x ServiceMsg
-				s.must(x.UnmarshalJSON(b))
-				r.r.OnService(&x)
+				s.check(x.UnmarshalJSON(b))
+				r.router.OnService(&x)
 			})
 		}
 	}
 	s.grant()
 }
 
-func (s *sim) must(err error) {
+func (s *sim) check(err error) {
 	if err != nil {
-		s.fault("%v", err)
+		s.violation("%v", err)
 	}
 }
 
@@ -236,9 +238,9 @@
 	}
 	s.owner.Schedule(s.now)
 	s.owner.Flush(func(to string, m *GrantMsg) bool {
-		for _, r := range s.routers {
+		for _, r := range s.instances {
 			if r.name == to {
-				from := s.at
+				from := s.ownerName
 				s.deliver(from, to, m, func(b []byte) { r.onGrant(from, b) })
 			}
 		}
@@ -246,17 +248,17 @@
 	})
 }
 
-// deliver sends one message with the faults of the network.
+// deliver sends one message, which may be lost, duplicated or delayed.
 func (s *sim) deliver(from, to string, m json.Marshaler, receive func(b []byte)) {
 	b, err := m.MarshalJSON()
-	s.must(err)
+	s.check(err)
 	delay := ms
 	if from == to {
 		delay = 0
 	} else {
-		s.sent[from] += len(b) + envelope
+		s.sentBytes[from] += len(b) + envelopeBytes
 	}
-	if s.faults && from != to {
+	if s.networkFaults && from != to {
 		switch s.rng.IntN(20) {
 		case 0:
 			return
@@ -269,65 +271,67 @@
 	s.after(delay, func() { receive(b) })
 }
 
-func (s *sim) poll() { s.pollSome(func(*limits.Target) bool { return true }) }
+func (s *sim) poll() { s.pollTargets(func(*limits.Target) bool { return true }) }
 
-func (s *sim) pollOrphans() { s.pollSome(func(t *limits.Target) bool { return t.Orphans() > 0 }) }
+func (s *sim) pollOrphans() { s.pollTargets(func(t *limits.Target) bool { return t.Orphans() > 0 }) }
 
-func (s *sim) pollSome(want func(*limits.Target) bool) {
+func (s *sim) pollTargets(want func(*limits.Target) bool) {
 	for _, t := range s.targets {
 		if s.owner == nil || !want(s.owner.Limits().Target(t.name)) {
 			continue
 		}
-		lag := min(s.rng.IntN(int(simLag/(100*ms))), len(t.history))
+		lag := min(s.rng.IntN(int(simReportLag/(100*ms))), len(t.reports))
 		if s.owner != nil && lag > 0 {
-			s.owner.Limits().Report(t.name, t.history[len(t.history)-lag], s.now)
+			s.owner.Limits().Report(t.name, t.reports[len(t.reports)-lag], s.now)
 		}
 	}
 	s.grant()
 }
 
-func (r *simRouter) LeaseValid() bool { return r.alive }
+func (r *simInstance) LeaseValid() bool { return r.alive }
 
-func (r *simRouter) Address(_, target string) (string, bool) { return "a", !r.out[r.byName[target].dc] }
+func (r *simInstance) Address(_, target string) (string, bool) {
+	return "a", !r.dataCentresOut[r.byName[target].dataCentre]
+}
 
-func (r *simRouter) tick() {
+func (r *simInstance) tick() {
 	if r.alive {
-		r.r.Tick(r.now)
+		r.router.Tick(r.now)
 		r.flush()
 	}
 }
 
 // flush sends at most once a millisecond.
-func (r *simRouter) flush() {
-	if r.flushing || !r.alive {
+func (r *simInstance) flush() {
+	if r.flushScheduled || !r.alive {
 		return
 	}
-	r.flushing = true
-	r.after(ms, func() { r.flushing = false; r.sendDue() })
+	r.flushScheduled = true
+	r.after(ms, func() { r.flushScheduled = false; r.sendDue() })
 	r.sendDue()
 }
 
-func (r *simRouter) sendDue() {
+func (r *simInstance) sendDue() {
 	if !r.alive {
 		return
 	}
-	to, epoch := r.r.Owner()
-	d, rep := r.r.Flush(r.now)
-	if rep != nil {
-		r.deliver(r.name, to, rep, func(b []byte) {
+	to, epoch := r.router.Owner()
+	demand, report := r.router.Flush(r.now)
+	if report != nil {
+		r.deliver(r.name, to, report, func(b []byte) {
 			var m ReportMsg
-			r.must(m.UnmarshalJSON(b))
-			if r.at == to && r.epoch >= epoch {
+			r.check(m.UnmarshalJSON(b))
+			if r.ownerName == to && r.epoch >= epoch {
 				r.owner.Report(r.name, &m, r.now)
 				r.grant()
 			}
 		})
 	}
-	if d != nil {
-		r.deliver(r.name, to, d, func(b []byte) {
+	if demand != nil {
+		r.deliver(r.name, to, demand, func(b []byte) {
 			var m DemandMsg
-			r.must(m.UnmarshalJSON(b))
-			if r.at == to && r.epoch >= epoch {
+			r.check(m.UnmarshalJSON(b))
+			if r.ownerName == to && r.epoch >= epoch {
 				r.owner.Demand(r.name, &m, r.now)
 				r.grant()
 			}
@@ -335,28 +339,28 @@
 	}
 }
 
-func (r *simRouter) onGrant(from string, b []byte) {
+func (r *simInstance) onGrant(from string, b []byte) {
 	if !r.alive {
 		return
 	}
 	var m GrantMsg
-	r.must(m.UnmarshalJSON(b))
-	for _, g := range r.r.OnGrant(from, &m, r.now, r) {
+	r.check(m.UnmarshalJSON(b))
+	for _, g := range r.router.OnGrant(from, &m, r.now, r) {
 		j := g.Item.Data.(*simJob)
 		t := r.byName[g.Target]
-		r.granted[j.ws] += j.cost
+		r.grantedCost[j.workspace] += j.cost
 		if r.onStart != nil {
 			r.onStart(j)
 		}
-		r.after(ms, func() { t.begin(j) })
+		r.after(ms, func() { t.start(j) })
 	}
 	r.flush()
 }
 
-// enqueue adds a request of the true cost and returns false if the queue is full.
-func (r *simRouter) enqueue(ws string, class api.CostClass, cost, hint float64) *simJob {
-	j := &simJob{router: r, inc: r.inc, ws: ws, cost: cost, queued: r.now}
-	it, _ := r.r.Enqueue(api.Demand{Workspace: ws, Pool: poolName, Class: class, Hint: hint}, 256, r.now)
+// enqueue adds a request of the given true cost. It returns nil if the queue is full.
+func (r *simInstance) enqueue(ws string, class api.CostClass, cost, hint float64) *simJob {
+	j := &simJob{instance: r, incarnation: r.incarnation, workspace: ws, cost: cost, queuedAt: r.now}
+	it, _ := r.router.Enqueue(api.Demand{Workspace: ws, Pool: poolName, Class: class, Hint: hint}, 256, r.now)
 	if it == nil {
 		return nil
 	}
@@ -365,39 +369,40 @@
 	return j
 }
 
-func (r *simRouter) die() { r.alive, r.died = false, r.now }
+func (r *simInstance) crash() { r.alive, r.crashedAt = false, r.now }
 
-// restart brings the router back with empty memory.
-func (r *simRouter) restart() {
-	r.inc += 100
-	r.r, r.alive = NewRouter(poolName, r.inc), true
-	if r.at != "" {
-		r.r.SetOwner(r.at, r.epoch)
+// restart starts a new process of the instance, with empty memory.
+func (r *simInstance) restart() {
+	r.incarnation += 100
+	r.router, r.alive = NewRouter(poolName, r.incarnation), true
+	if r.ownerName != "" {
+		r.router.SetOwner(r.ownerName, r.epoch)
 	}
 }
 
-// tell runs f on the router if the process that started the job still lives.
-func (j *simJob) tell(f func(r *simRouter)) {
-	r := j.router
+// notifyInstance calls f on the instance, unless the process that started the job
+// has crashed.
+func (j *simJob) notifyInstance(f func(r *simInstance)) {
+	r := j.instance
 	r.after(ms, func() {
-		if r.alive && r.inc == j.inc {
+		if r.alive && r.incarnation == j.incarnation {
 			f(r)
 			r.flush()
 		}
 	})
 }
 
-// cancel ends the job as a caller does who goes away.
+// cancel ends the job as if its caller had disconnected.
 func (j *simJob) cancel() {
-	r := j.router
-	if !r.alive || r.inc != j.inc {
+	r := j.instance
+	if !r.alive || r.incarnation != j.incarnation {
 		return
 	}
 	if t := r.byName[j.item.target]; t != nil && t.jobs[j] {
 		delete(t.jobs, j)
-		r.r.Done(j.item, api.Outcome{Result: api.ResultCancelled}, r.now)
+		r.router.Done(j.item, api.Outcome{Result: api.ResultCancelled}, r.now)
 	} else if j.item.Waiting() {
-		r.r.Cancel(j.item, r.now)
+		r.router.Cancel(j.item, r.now)
 	}
 	r.flush()
 }
@@ -410,43 +415,43 @@
 }
 
 func (t *simTarget) sample() {
-	if t.isCold && t.now-t.coldSince >= t.coldFor {
+	if t.isCold && t.now-t.coldSince >= t.coldDuration {
 		t.isCold = false
 	}
-	t.history = append(t.history, limits.Report{Warmth: t.warmth(), Boot: t.boot, Running: len(t.jobs)})
-	if len(t.history) > 30 {
-		t.history = t.history[1:]
+	t.reports = append(t.reports, limits.Report{Warmth: t.warmth(), Boot: t.boot, Running: len(t.jobs)})
+	if len(t.reports) > 30 {
+		t.reports = t.reports[1:]
 	}
 }
 
-func (t *simTarget) begin(j *simJob) {
-	j.begun, j.boot, j.atCold = t.now, t.boot, t.isCold
+func (t *simTarget) start(j *simJob) {
+	j.startedAt, j.boot, j.startedCold = t.now, t.boot, t.isCold
 	t.jobs[j] = true
-	t.lastNew = t.now
-	t.check()
+	t.lastStartAt = t.now
+	t.checkCapacity()
 	w, boot := t.warmth(), t.boot
-	j.tell(func(r *simRouter) { r.r.Confirm(j.item, w, boot, r.now) })
+	j.notifyInstance(func(r *simInstance) { r.router.Confirm(j.item, w, boot, r.now) })
 	t.after(time.Duration(j.cost/t.rate*float64(time.Second)), func() { t.end(j, w) })
 }
 
-// check counts what the target carries against what it can carry.
-func (t *simTarget) check() {
+// checkCapacity records a violation if the target runs more than its capacity.
+func (t *simTarget) checkCapacity() {
 	t.peak = max(t.peak, len(t.jobs))
-	if len(t.jobs) > t.warm {
-		t.fault("%s carries %d, warm capacity %d", t.name, len(t.jobs), t.warm)
+	if len(t.jobs) > t.warmCapacity {
+		t.violation("%s runs %d, warm capacity %d", t.name, len(t.jobs), t.warmCapacity)
 	}
 	if !t.isCold {
 		return
 	}
-	fresh := 0
+	startedSinceCold := 0
 	for j := range t.jobs {
-		if j.atCold && j.begun >= t.coldSince {
-			fresh++
+		if j.startedCold && j.startedAt >= t.coldSince {
+			startedSinceCold++
 		}
 	}
-	t.peakCold = max(t.peakCold, fresh)
-	if fresh > t.cold {
-		t.fault("cold %s carries %d, cold capacity %d", t.name, fresh, t.cold)
+	t.peakCold = max(t.peakCold, startedSinceCold)
+	if startedSinceCold > t.coldCapacity {
+		t.violation("cold %s runs %d, cold capacity %d", t.name, startedSinceCold, t.coldCapacity)
 	}
 }
 
@@ -455,20 +460,20 @@
 		return
 	}
 	delete(t.jobs, j)
-	t.ended[j.ws]++
-	t.done[j.ws] += j.cost
+	t.completions[j.workspace]++
+	t.servedCost[j.workspace] += j.cost
 	boot := j.boot
-	j.tell(func(r *simRouter) {
-		r.r.Done(j.item, api.Outcome{Result: api.ResultOK, Cost: j.cost, Warmth: w, Boot: boot}, r.now)
+	j.notifyInstance(func(r *simInstance) {
+		r.router.Done(j.item, api.Outcome{Result: api.ResultOK, Cost: j.cost, Warmth: w, Boot: boot}, r.now)
 		if r.onEnd != nil {
 			r.onEnd(j)
 		}
 	})
 }
 
-// turnCold makes the target cold without warning. With restart its work is cut
-// and its boot number changes.
-func (t *simTarget) turnCold(restart bool) {
+// makeCold makes the target cold without warning. With restart, its running work
+// fails and its boot number changes.
+func (t *simTarget) makeCold(restart bool) {
 	t.isCold, t.coldSince = true, t.now
 	if !restart {
 		return
@@ -476,9 +481,9 @@
 	t.boot++
 	for j := range t.jobs {
 		delete(t.jobs, j)
-		t.done[j.ws] += min(j.cost, (t.now-j.begun).Seconds()*t.rate)
-		j.tell(func(r *simRouter) {
-			r.r.Done(j.item, api.Outcome{Result: api.ResultFailed}, r.now)
+		t.servedCost[j.workspace] += min(j.cost, (t.now-j.startedAt).Seconds()*t.rate)
+		j.notifyInstance(func(r *simInstance) {
+			r.router.Done(j.item, api.Outcome{Result: api.ResultFailed}, r.now)
 			if r.onEnd != nil {
 				r.onEnd(j)
 			}
