--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -38,8 +38,8 @@
 }
 
 // BenchmarkDecision measures one full cycle: a decision, its grant message, the
-// completion of the work and the announcement of the next request. The warm-up
-// makes the targets warm and nearly full.
+// completion of the work and the announcement of the next request. Four cycles per
+// target run first, in which the responses report the targets as warm.
 func BenchmarkDecision(b *testing.B) {
 	for _, workspaces := range []int{16, 430, 4300} {
 		for _, targets := range []int{16, 1200, 12000} {
