--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -1,5 +1,6 @@
-// Package owner places the model requests of all entry instances on the control
-// leader: it sees all work on each target, which no entry instance does.
+// Package owner schedules the model requests of all entry instances onto targets. It
+// runs on the control leader, because only one owner for the whole fleet sees all work
+// on each target.
 package owner
 
 import (
@@ -30,26 +31,30 @@
 }
 
 const (
-	inboxSize = 8192 // messages
-	// tickInterval is how often waiting requests are looked at without an event.
+	inboxSize = 8192 // queued functions
+	// tickInterval is how often the owner tries again to place queued requests while no
+	// message arrives.
 	tickInterval = 10 * time.Millisecond
-	// aliveInterval is how often entry instances with waiting requests are told
-	// that the owner is there.
-	aliveInterval = 100 * time.Millisecond
-	// goneAfter is how long the requests of an entry instance without a link count.
-	goneAfter = 1500 * time.Millisecond
-	// watchInterval is how often the owner looks at the clock while nothing happens, and
-	// pauseLeast is the time without a look from which it counts as having been stopped or
-	// delayed. Another owner may follow after 0.5 s, an election timeout.
-	watchInterval = 100 * time.Millisecond
-	pauseLeast    = 400 * time.Millisecond
-	// confirmLimit bounds the question whether the majority still follows, confirmPause
-	// separates two of them.
-	confirmLimit = time.Second
-	confirmPause = 20 * time.Millisecond
+	// heartbeatInterval is the interval of heartbeats to entry instances with queued
+	// requests.
+	heartbeatInterval = 100 * time.Millisecond
+	// disconnectTimeout is how long an entry instance without a link keeps the load of its
+	// requests on the targets.
+	disconnectTimeout = 1500 * time.Millisecond
+	// clockCheckInterval is how often the owner checks the clock while no message arrives.
+	clockCheckInterval = 100 * time.Millisecond
+	// suspensionThreshold is the time between two clock checks from which the process
+	// counts as suspended. It is below the election timeout of 0.5 s, after which another
+	// instance may become the owner.
+	suspensionThreshold = 400 * time.Millisecond
+	// confirmTimeout bounds one read that confirms the leadership with a majority.
+	confirmTimeout = time.Second
+	// confirmRetryDelay is the time between two such reads.
+	confirmRetryDelay = 20 * time.Millisecond
 )
 
-// Owner is the plug-in. It must be provisioned before use.
+// Owner is the plug-in that decides, while this instance is the control leader, on which
+// target each model request runs. It must be provisioned before use.
 type Owner struct {
 	kernel    *kernel.Context
 	mesh      api.Mesh
@@ -60,19 +65,19 @@
 	clock     kernel.Clock
 	log       *slog.Logger
 
-	inbox   *kernel.Ring[func()]
-	state   *placement.Owner
-	term    uint64 // of the ownership; 0 = not the owner
-	table   *routing.Table
-	aliveAt time.Duration
+	inbox         *kernel.Ring[func()]
+	state         *placement.Owner
+	term          uint64 // control term of the ownership; 0 = not the owner
+	table         *routing.Table
+	lastHeartbeat time.Duration
 
-	instant func() kernel.Instant
-	lapse   kernel.Lapse
-	// doubted is set from a pause on until a majority has confirmed the ownership.
-	doubted bool
+	instant    func() kernel.Instant
+	suspension kernel.Lapse
+	// unconfirmed is set after a suspension until a majority has confirmed the ownership.
+	unconfirmed bool
 
 	grants, refusals *metrics.Counter
-	decide           *metrics.Histogram
+	decideSeconds    *metrics.Histogram
 }
 
 // Provision implements kernel.Plugin.
@@ -101,7 +106,7 @@
 	o.inbox = kernel.NewRing[func()](c.Metrics, "owner", inboxSize)
 	o.grants = c.Metrics.NewCounter("nutmeg_owner_grants_total")
 	o.refusals = c.Metrics.NewCounter("nutmeg_owner_refusals_total")
-	o.decide = c.Metrics.NewHistogram("nutmeg_owner_decide_seconds")
+	o.decideSeconds = c.Metrics.NewHistogram("nutmeg_owner_decide_seconds")
 	o.mesh.Handle(placewire.MethodUp, o.handleUp)
 	o.fleet.OnChange(func(*api.View) { o.inbox.Push(o.viewChanged) })
 	o.directory.OnChange(func() { o.inbox.Push(o.viewChanged) })
@@ -116,14 +121,15 @@
 	return nil
 }
 
-// run is the only goroutine that touches the state.
+// run processes queued functions and ticks. All state of the owner belongs to its
+// goroutine.
 func (o *Owner) run(ctx context.Context) error {
 	t := time.NewTimer(tickInterval)
 	defer t.Stop()
 	for {
 		var tick <-chan time.Time
 		if o.term != 0 {
-			interval := watchInterval
+			interval := clockCheckInterval
 			if o.state.Waiting() > 0 {
 				interval = tickInterval
 			}
@@ -137,38 +143,39 @@
 		case f = <-o.inbox.C():
 		case <-tick:
 		}
-		o.look(ctx)
+		o.checkSuspension(ctx)
 		if f != nil {
 			f()
-			o.drain()
+			o.processQueued()
 		}
 		if o.term != 0 {
-			o.answer()
+			o.sendDecisions()
 		}
 	}
 }
 
-// look has the ownership confirmed after a pause: another instance may have become the
-// owner, and this one has not heard of it yet.
-func (o *Owner) look(ctx context.Context) {
+// checkSuspension detects that the process was suspended and then starts a confirmation of
+// the ownership, because another instance may have become the owner meanwhile.
+func (o *Owner) checkSuspension(ctx context.Context) {
 	if o.term == 0 {
-		o.lapse.Forget()
+		o.suspension.Forget()
 		return
 	}
-	pause := o.lapse.Look(o.instant())
-	if pause < pauseLeast || o.doubted {
+	suspended := o.suspension.Look(o.instant())
+	if suspended < suspensionThreshold || o.unconfirmed {
 		return
 	}
-	o.doubted = true
+	o.unconfirmed = true
 	term := o.term
-	logqueue.Notice(o.log, "ownership in doubt after a pause", "step", "owner", "term", term, "pause_ms", pause.Milliseconds())
-	go o.confirm(ctx, term)
+	logqueue.Notice(o.log, "ownership in doubt after a pause", "step", "owner", "term", term, "pause_ms", suspended.Milliseconds())
+	go o.confirmLeadership(ctx, term)
 }
 
-// confirm asks until a majority follows this instance, or it is not the owner any more.
-func (o *Owner) confirm(ctx context.Context, term uint64) {
+// confirmLeadership reads from the control group until a majority confirms the leadership
+// in the given term or the leadership has ended.
+func (o *Owner) confirmLeadership(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, confirmLimit)
+		limited, cancel := context.WithTimeout(ctx, confirmTimeout)
 		_, err := o.control.ReadRevision(limited)
 		cancel()
 		s := o.control.Status()
@@ -177,26 +184,27 @@
 		}
 		if err != nil {
 			o.log.Warn("ownership not confirmed", "step", "owner", "term", term, "error", err)
-		} else if o.inbox.Push(func() { o.confirmed(term) }) {
+		} else if o.inbox.Push(func() { o.leadershipConfirmed(term) }) {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(confirmPause):
+		case <-time.After(confirmRetryDelay):
 		}
 	}
 }
 
-// confirmed ends the doubt in the ownership of a term.
-func (o *Owner) confirmed(term uint64) {
+// leadershipConfirmed lets the owner grant again if it is still in the given term.
+func (o *Owner) leadershipConfirmed(term uint64) {
 	if o.term == term {
-		o.doubted = false
+		o.unconfirmed = false
 		logqueue.Notice(o.log, "ownership confirmed", "step", "owner", "term", term)
 	}
 }
 
-// drain handles what has queued up, so that it shares one round of decisions.
-func (o *Owner) drain() {
+// processQueued runs the functions that are in the inbox now, so that one round of
+// decisions covers them all.
+func (o *Owner) processQueued() {
 	for range o.inbox.Len() {
 		select {
 		case f := <-o.inbox.C():
@@ -207,15 +215,16 @@
 	}
 }
 
-// statusChanged begins or ends the ownership with the leadership.
+// statusChanged starts the ownership when this instance becomes the control leader and
+// ends it when the leadership ends.
 func (o *Owner) statusChanged(s api.ControlStatus) {
 	switch {
 	case s.Role != "leader" && o.term != 0:
 		logqueue.Notice(o.log, "ownership ended", "step", "owner", "term", o.term)
-		o.term, o.state, o.doubted = 0, nil, false
+		o.term, o.state, o.unconfirmed = 0, nil, false
 	case s.Role == "leader" && o.term != s.Term:
 		b := o.kernel.Settings.Routes.Bounds
-		o.term, o.doubted = s.Term, false
+		o.term, o.unconfirmed = s.Term, false
 		o.state = placement.NewOwner(placement.Config{
 			ShareWindow: settings.Ms(b.ShareWindowMs), ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
 		})
@@ -224,13 +233,14 @@
 	}
 }
 
+// viewChanged applies the current configuration and list of targets.
 func (o *Owner) viewChanged() {
 	if o.term == 0 {
 		return
 	}
 	v := o.fleet.View()
 	if o.table == nil || o.table.Version != v.Version {
-		o.readTable(v)
+		o.loadTable(v)
 	}
 	if o.table == nil {
 		return
@@ -240,7 +250,7 @@
 	}, o.clock.Now())
 }
 
-func (o *Owner) readTable(v *api.View) {
+func (o *Owner) loadTable(v *api.View) {
 	t, err := v.Table(o.dialect)
 	if err != nil {
 		o.log.Error("configuration not readable", "step", "view", "version", v.Version, "error", err)
@@ -251,13 +261,13 @@
 	}
 }
 
-// linkChanged forgets the requests of an entry instance that stays away: its
-// connections to the targets are gone with it.
+// linkChanged discards the requests of an entry instance that stays disconnected for
+// disconnectTimeout: its connections to the targets are presumed closed.
 func (o *Owner) linkChanged(c api.LinkChange) {
 	if c.Up || c.Control {
 		return
 	}
-	time.AfterFunc(goneAfter, func() {
+	time.AfterFunc(disconnectTimeout, func() {
 		if o.mesh.Reachable(c.Peer) {
 			return
 		}
@@ -274,14 +284,15 @@
 	if err := json.Unmarshal(params, &u); err != nil {
 		return nil, errors.WithMessage(err, placewire.MethodUp)
 	}
-	if !o.inbox.Push(func() { o.take(from, &u) }) {
-		o.log.Warn("message dropped: too many wait", "step", "owner", "peer", from)
+	if !o.inbox.Push(func() { o.applyUpdate(from, &u) }) {
+		o.log.Warn("message dropped: the inbox is full", "step", "owner", "peer", from)
 	}
 	return nil, nil
 }
 
-// take applies what an entry instance tells.
-func (o *Owner) take(from string, u *placewire.Up) {
+// applyUpdate applies a message from an entry instance: running requests, starts, ends,
+// refusals and new requests, in this order.
+func (o *Owner) applyUpdate(from string, u *placewire.Up) {
 	if o.term == 0 || u.Term != o.term {
 		o.send(from, placewire.Down{Term: u.Term, Not: true})
 		return
@@ -308,8 +319,8 @@
 			o.state.Refused(workspace, r.Tokens(), r.Own(), r.Objective(), now)
 		}
 	}
-	if o.doubted {
-		// What has ended counts; what is asked for is placed by the entry instance.
+	if o.unconfirmed {
+		// The ends above count, but the entry instance must place new requests itself.
 		o.send(from, placewire.Down{Term: u.Term, Not: true})
 		return
 	}
@@ -319,8 +330,9 @@
 	}
 }
 
-// answer decides and tells the entry instances.
-func (o *Owner) answer() {
+// sendDecisions decides on queued requests and sends the decisions, and heartbeats that
+// are due, to the entry instances. An unconfirmed owner sends Not in place of decisions.
+func (o *Owner) sendDecisions() {
 	begin := time.Now()
 	now := o.clock.Now()
 	o.state.Tick(now)
@@ -334,7 +346,7 @@
 		}
 		return d
 	}
-	if o.doubted {
+	if o.unconfirmed {
 		for _, d := range decisions {
 			down[d.Key.Entry] = &placewire.Down{Term: o.term, Not: true}
 		}
@@ -349,14 +361,14 @@
 		m := to(d.Key.Entry)
 		m.Grants = append(m.Grants, placewire.NewGrant(d))
 	}
-	if now-o.aliveAt >= aliveInterval && !o.doubted {
-		o.aliveAt = now
+	if now-o.lastHeartbeat >= heartbeatInterval && !o.unconfirmed {
+		o.lastHeartbeat = now
 		for _, entry := range o.state.Entries() {
 			to(entry)
 		}
 	}
 	if len(decisions) > 0 {
-		o.decide.Update(time.Since(begin).Seconds())
+		o.decideSeconds.Update(time.Since(begin).Seconds())
 	}
 	for entry, d := range down {
 		o.send(entry, *d)
@@ -365,6 +377,6 @@
 
 func (o *Owner) send(to string, d placewire.Down) {
 	if err := o.mesh.Notify(to, placewire.MethodDown, d); err != nil {
-		o.log.Debug("decision not sent", "step", "owner", "peer", to, "error", err) // the entry instance decides itself
+		o.log.Debug("decision not sent", "step", "owner", "peer", to, "error", err) // the entry instance places the request locally after a timeout
 	}
 }
