--- a/plugin/placer/local.go
+++ b/plugin/placer/local.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// noTargetAdvice is when a caller may come back while no target is in service:
-	// the list is read at shorter intervals.
-	noTargetAdvice = 500 * time.Millisecond
-	// localSlots is the part of a target's slots that all entry instances together
-	// use while no owner answers.
-	localSlots = 0.7
-	// unknownEntries is the assumed number of entry instances before it was told.
-	unknownEntries = 16
+	// noTargetRetryAfter is the retry delay for callers while no target is in service. The
+	// list of targets is read at shorter intervals.
+	noTargetRetryAfter = 500 * time.Millisecond
+	// localSlotFraction is the fraction of a target's slots that all entry instances
+	// together use while no owner responds.
+	localSlotFraction = 0.7
+	// defaultEntryCount is the assumed number of entry instances until the topology is known.
+	defaultEntryCount = 16
 )
 
-// placeLocal chooses a target by what this instance knows.
-func (p *Placer) placeLocal(w *api.Work) (*placed, error) {
+// placeLocal chooses a target from the state that this instance has itself. The error is
+// an *api.Refusal if no target may be used.
+func (p *Placer) placeLocal(w *api.Work) (*assignment, error) {
 	now := p.clock.Now()
 	q := placement.Query{
 		Service: w.Service, Targets: p.directory.Targets(), Out: p.fleet.View().Out,
 		Tried: w.Tried, Now: now, Random: rand.Float64(),
 	}
 	if w.Engine != nil {
-		q.Home, q.MostRunning = homePart(w.Prompt), p.mostRunning(w.Engine.Slots)
+		q.Home, q.MostRunning = affinityPart(w.Prompt), p.maxRunning(w.Engine.Slots)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,78 +38,81 @@
 	if !ok {
 		return nil, &api.Refusal{
 			Code: placement.CodeNoTarget, Status: 503, Run: api.NotRun, Step: "place",
-			Message: "no target of the service may be used", RetryAfter: noTargetAdvice,
+			Message: "no target of the service may be used", RetryAfter: noTargetRetryAfter,
 		}
 	}
 	p.local.Start(t)
-	return &placed{p: p, work: w, target: t, begin: now, by: "entry", at: p.instant()}, nil
+	return &assignment{placer: p, work: w, target: t, startedAt: now, chosenBy: "entry", chosenAt: p.instant()}, nil
 }
 
-// mostRunning returns this instance's part of a target's slots.
-func (p *Placer) mostRunning(slots int) int {
+// maxRunning returns how many requests this instance may run on a target with the given
+// number of slots: its part of localSlotFraction, at least 1.
+func (p *Placer) maxRunning(slots int) int {
 	entries := p.topology.Entries()
 	if entries == 0 {
-		entries = unknownEntries
+		entries = defaultEntryCount
 	}
-	return max(1, int(localSlots*float64(slots)/float64(entries)+0.5))
+	return max(1, int(localSlotFraction*float64(slots)/float64(entries)+0.5))
 }
 
-func homePart(prompt []api.PromptPart) placement.PartID {
+// affinityPart returns the prompt part by which requests are routed to the same target,
+// the last one before the part that belongs to the request alone; 0 = none.
+func affinityPart(prompt []api.PromptPart) placement.PartID {
 	if len(prompt) < 2 {
 		return 0
 	}
 	return placewire.PartID(prompt[len(prompt)-2].ID)
 }
 
-// placed implements api.Placement.
-type placed struct {
-	p      *Placer
-	work   *api.Work
-	target api.Target
-	begin  time.Duration
-	by     string         // who chose the target
-	at     kernel.Instant // when it was chosen
-	number uint64         // of a model request; 0 otherwise
-	began  bool
+// assignment is a request that was assigned to a target. It implements api.Placement.
+type assignment struct {
+	placer          *Placer
+	work            *api.Work
+	target          api.Target
+	startedAt       time.Duration  // when the target was chosen, on the kernel clock
+	chosenBy        string         // instance that chose the target: owner or entry
+	chosenAt        kernel.Instant // for the grant lifetime; includes suspensions
+	number          uint64         // number of the model request; 0 for plain requests
+	responseStarted bool
 }
 
 // Target implements api.Placement.
-func (l *placed) Target() api.Target { return l.target }
+func (a *assignment) Target() api.Target { return a.target }
 
 // Sent implements api.Placement.
-func (l *placed) Sent() error {
-	if age := l.p.instant().Since(l.at); age > grantLife {
-		l.p.expire("before the request was sent", age)
+func (a *assignment) Sent() error {
+	if age := a.placer.instant().Since(a.chosenAt); age > grantLifetime {
+		a.placer.recordExpired("before the request was sent", age)
 		return errExpired
 	}
-	return l.p.permit(l.target)
+	return a.placer.checkTarget(a.target)
 }
 
 // Began implements api.Placement.
-func (l *placed) Began() {
-	if l.number == 0 {
+func (a *assignment) Began() {
+	if a.number == 0 {
 		return
 	}
-	l.p.mu.Lock()
-	defer l.p.mu.Unlock()
-	l.began = true
-	l.p.up.Began = append(l.p.up.Began, l.number)
-	l.p.wake()
+	a.placer.mu.Lock()
+	defer a.placer.mu.Unlock()
+	a.responseStarted = true
+	a.placer.pending.Began = append(a.placer.pending.Began, a.number)
+	a.placer.signalSend()
 }
 
 // Progress implements api.Placement.
-func (l *placed) Progress(int) {}
+func (a *assignment) Progress(int) {}
 
 // End implements api.Placement.
-func (l *placed) End(o api.WorkOutcome) {
-	p := l.p
+func (a *assignment) End(o api.WorkOutcome) {
+	p := a.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	p.local.End(l.target, o, now-l.begin, now)
-	if l.number != 0 {
-		delete(p.running, l.number)
-		p.up.Ends = append(p.up.Ends, placewire.End{Number: l.number, Outcome: o})
-		p.wake()
+	p.local.End(a.target, o, now-a.startedAt, now)
+	if a.number != 0 {
+		delete(p.running, a.number)
+		p.pending.Ends = append(p.pending.Ends, placewire.End{Number: a.number, Outcome: o})
+		p.signalSend()
 	}
 }
--- a/plugin/placer/remote.go
+++ b/plugin/placer/remote.go
@@ -15,37 +15,39 @@
 )
 
 const (
-	// answerLimit is the silence of the owner after which waiting requests are
-	// placed here. The owner tells ten times a second that it is there.
-	answerLimit = 250 * time.Millisecond
-	// resendPause separates attempts to reach an owner without a link.
-	resendPause = 100 * time.Millisecond
-	// absentFor is how long an owner that did not answer is not asked.
-	absentFor = 300 * time.Millisecond
-	// grantLife is how long the choice of a target holds until the request is sent. The
-	// owner counts starts by the second, and forgets an instance that it has not reached
-	// for 1.5 s. Connecting takes 0.4 s at most.
-	grantLife = time.Second
-	// pauseLeast is the time without a look from which this process counts as having been
-	// stopped or delayed. While requests wait it looks every 50 ms.
-	pauseLeast = 600 * time.Millisecond
+	// ownerTimeout is the silence of the owner after which waiting requests are placed
+	// locally. The owner sends ten heartbeats a second.
+	ownerTimeout = 250 * time.Millisecond
+	// resendDelay is the time between attempts to send to an owner without a link.
+	resendDelay = 100 * time.Millisecond
+	// ownerRetryDelay is how long no requests are sent to an owner that did not respond or
+	// that reported that it is not the owner.
+	ownerRetryDelay = 300 * time.Millisecond
+	// grantLifetime is how long after the choice of a target the request may be sent to it.
+	// The owner limits starts per second and discards the requests of an instance that has
+	// been disconnected for 1.5 s. Connecting takes at most 0.4 s.
+	grantLifetime = time.Second
+	// suspensionThreshold is the time between two clock checks above which this process
+	// counts as suspended. While requests wait, the clock is checked every 50 ms.
+	suspensionThreshold = 600 * time.Millisecond
 )
 
-// errExpired ends an attempt whose target was chosen too long ago.
+// errExpired ends an attempt whose target was chosen longer than grantLifetime ago.
 var errExpired = errors.New("the choice of the target has run out")
 
-// waiter is an ask without an answer.
+// waiter is a model request that waits for the owner's response.
 type waiter struct {
-	work   *api.Work
-	asked  time.Duration
-	answer chan answer // holds one
+	work     *api.Work
+	askedAt  time.Duration
+	response chan ownerResponse // capacity 1
 }
 
-// answer ends the wait of an ask.
-type answer struct {
+// ownerResponse ends the wait of a request. At most one of its flags is set; without one,
+// grant is the owner's decision.
+type ownerResponse struct {
 	grant placewire.Grant
-	// local tells that the owner does not answer, again that its answer has run out.
-	local, again bool
+	// placeLocally is set if the owner is unavailable, askAgain if its grant has expired.
+	placeLocally, askAgain bool
 }
 
 // Place implements api.Placer.
@@ -54,36 +56,37 @@
 		return asPlacement(p.placeLocal(w))
 	}
 	for {
-		number, wt, ok := p.ask(w)
+		number, wt, ok := p.askOwner(w)
 		if !ok {
 			return asPlacement(p.placeEngineLocal(w, "no owner"))
 		}
-		a, err := p.await(ctx, number, wt)
+		resp, err := p.awaitOwner(ctx, number, wt)
 		switch {
 		case err != nil:
 			return nil, err
-		case a.again:
-		case a.local:
+		case resp.askAgain:
+		case resp.placeLocally:
 			return asPlacement(p.placeEngineLocal(w, "owner does not answer"))
-		case a.grant.Target == "":
-			return nil, p.refusal(w, a.grant)
+		case resp.grant.Target == "":
+			return nil, p.refusal(w, resp.grant)
 		default:
-			return p.take(w, number, a.grant)
+			return p.acceptGrant(w, number, resp.grant)
 		}
 	}
 }
 
-// expire tells that a choice was not used because it has run out.
-func (p *Placer) expire(why string, age time.Duration) {
-	p.expired.Inc()
-	p.log.Warn("choice of a target expired", "step", "place", "why", why, "age_ms", age.Milliseconds())
+// recordExpired counts and logs a grant that was not used because it has expired.
+func (p *Placer) recordExpired(reason string, age time.Duration) {
+	p.expiredGrants.Inc()
+	p.log.Warn("choice of a target expired", "step", "place", "why", reason, "age_ms", age.Milliseconds())
 }
 
-// look notes that this process runs. The lock must be held.
-func (p *Placer) look(now time.Duration) {
-	if pause := p.lapse.Look(p.instant()); pause > pauseLeast {
-		p.wokeAt = now
-		logqueue.Notice(p.log, "ran again after a pause", "step", "pause", "pause_ms", pause.Milliseconds(), "waiting", len(p.waiting))
+// checkSuspension records when this process resumes after a suspension. The lock must be
+// held.
+func (p *Placer) checkSuspension(now time.Duration) {
+	if suspended := p.suspension.Look(p.instant()); suspended > suspensionThreshold {
+		p.suspensionEnd = now
+		logqueue.Notice(p.log, "ran again after a pause", "step", "pause", "pause_ms", suspended.Milliseconds(), "waiting", len(p.waiting))
 	}
 }
 
@@ -92,18 +95,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if !p.flood.Holds(w.Workspace, placewire.OwnPart(w.Prompt), now) {
+	if !p.throttle.Holds(w.Workspace, placewire.OwnPart(w.Prompt), now) {
 		return nil
 	}
-	p.held.Inc()
-	if p.up.Refused == nil {
-		p.up.Refused = map[string][]placewire.Refused{}
+	p.throttled.Inc()
+	if p.pending.Refused == nil {
+		p.pending.Refused = map[string][]placewire.Refused{}
 	}
-	p.up.Refused[w.Workspace] = append(p.up.Refused[w.Workspace], placewire.NewRefused(w, now)) // told with the next message
+	p.pending.Refused[w.Workspace] = append(p.pending.Refused[w.Workspace], placewire.NewRefused(w, now)) // sent with the next message
 	return &api.Refusal{
-		Code: placement.CodeShare, Status: 503, Run: api.NotRun, Step: "place", RetryAfter: p.flood.Advice(w.Workspace),
+		Code: placement.CodeShare, Status: 503, Run: api.NotRun, Step: "place", RetryAfter: p.throttle.Advice(w.Workspace),
 		Message: "the workspace exceeds its share",
-		Inputs:  []any{"by", "entry", "passes", p.flood.Share(w.Workspace), "term", p.owner.term},
+		Inputs:  []any{"by", "entry", "passes", p.throttle.Share(w.Workspace), "term", p.owner.term},
 	}
 }
 
@@ -111,78 +114,80 @@
 func (p *Placer) TurnedAway(w *api.Work) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.up.TurnedAway == nil {
-		p.up.TurnedAway = map[string]int{}
+	if p.pending.TurnedAway == nil {
+		p.pending.TurnedAway = map[string]int{}
 	}
-	p.up.TurnedAway[w.Workspace] += placewire.Tokens(w) // told with the next message
+	p.pending.TurnedAway[w.Workspace] += placewire.Tokens(w) // sent with the next message
 }
 
-func asPlacement(l *placed, err error) (api.Placement, error) {
+func asPlacement(a *assignment, err error) (api.Placement, error) {
 	if err != nil {
 		return nil, err
 	}
-	return l, nil
+	return a, nil
 }
 
-// ask sends a request to the owner. It reports false if there is none to ask.
-func (p *Placer) ask(w *api.Work) (uint64, *waiter, bool) {
+// askOwner sends a request to the owner and returns its number and waiter. It reports
+// false if the owner is unknown, unreachable or within ownerRetryDelay.
+func (p *Placer) askOwner(w *api.Work) (uint64, *waiter, bool) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.owner.name == "" || now < p.owner.absent || !p.mesh.Reachable(p.owner.name) {
+	if p.owner.name == "" || now < p.owner.unavailableUntil || !p.mesh.Reachable(p.owner.name) {
 		return 0, nil, false
 	}
-	p.number++
-	wt := &waiter{work: w, asked: now, answer: make(chan answer, 1)}
+	p.lastNumber++
+	wt := &waiter{work: w, askedAt: now, response: make(chan ownerResponse, 1)}
 	if len(p.waiting) == 0 {
-		p.owner.silence.heard(now)
-		p.lapse.Forget() // nobody has looked since the last wait
-		kernel.Signal(p.watch)
+		p.owner.silence.reset(now)
+		p.suspension.Forget() // the clock was not checked since the last wait
+		kernel.Signal(p.watchSignal)
 	}
-	p.look(now)
-	p.waiting[p.number] = wt
-	p.up.Asks = append(p.up.Asks, placewire.NewAsk(p.number, w, now))
-	p.wake()
-	return p.number, wt, true
+	p.checkSuspension(now)
+	p.waiting[p.lastNumber] = wt
+	p.pending.Asks = append(p.pending.Asks, placewire.NewAsk(p.lastNumber, w, now))
+	p.signalSend()
+	return p.lastNumber, wt, true
 }
 
-// await waits for the owner's answer; the watch ends the wait if the owner has been
-// silent for too long.
-func (p *Placer) await(ctx context.Context, number uint64, wt *waiter) (answer, error) {
+// awaitOwner waits for the owner's response. watchLoop ends the wait if the owner is silent
+// for ownerTimeout. The error is that of the context.
+func (p *Placer) awaitOwner(ctx context.Context, number uint64, wt *waiter) (ownerResponse, error) {
 	select {
-	case a := <-wt.answer:
-		p.wait.Update((p.clock.Now() - wt.asked).Seconds())
-		return a, nil
+	case resp := <-wt.response:
+		p.waitSeconds.Update((p.clock.Now() - wt.askedAt).Seconds())
+		return resp, nil
 	case <-ctx.Done():
-		p.giveUp(number, wt)
-		return answer{}, ctx.Err()
+		p.withdraw(number, wt)
+		return ownerResponse{}, ctx.Err()
 	}
 }
 
-// giveUp withdraws an ask whose caller has left, or gives back its target.
-func (p *Placer) giveUp(number uint64, wt *waiter) {
+// withdraw cancels the request of a disconnected caller at the owner. A grant that has
+// already arrived is released.
+func (p *Placer) withdraw(number uint64, wt *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, number)
-	p.up.Ends = append(p.up.Ends, placewire.End{Number: number, Outcome: api.WorkUnsent})
-	p.wake()
+	p.pending.Ends = append(p.pending.Ends, placewire.End{Number: number, Outcome: api.WorkUnsent})
+	p.signalSend()
 	select {
-	case <-wt.answer: // the end above frees the target
+	case <-wt.response: // the end reported above releases the target
 	default:
 	}
 }
 
-// watchLoop follows the owner's silence while requests wait for its answers.
+// watchLoop checks while requests wait whether the owner has become silent.
 func (p *Placer) watchLoop(ctx context.Context) error {
-	t := time.NewTicker(pulseEvery)
+	t := time.NewTicker(silenceCheckInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.watch:
+		case <-p.watchSignal:
 		}
-		t.Reset(pulseEvery)
+		t.Reset(silenceCheckInterval)
 		for p.checkOwner(p.clock.Now()) {
 			select {
 			case <-ctx.Done():
@@ -193,74 +198,75 @@
 	}
 }
 
-// checkOwner reports whether requests wait. If the owner has been silent for too
-// long, all asks are answered to be placed here.
+// checkOwner reports whether requests still wait. If the owner has been silent for
+// ownerTimeout, it releases them all to be placed locally.
 func (p *Placer) checkOwner(now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.waiting) == 0 {
 		return false
 	}
-	p.look(now)
-	silent := p.owner.silence.look(now)
-	if silent < answerLimit {
+	p.checkSuspension(now)
+	silent := p.owner.silence.advance(now)
+	if silent < ownerTimeout {
 		return true
 	}
-	p.unanswered.Inc()
+	p.ownerTimeouts.Inc()
 	logqueue.Notice(p.log, "owner does not answer", "step", "owner", "peer", p.owner.name, "term", p.owner.term,
 		"silent_ms", silent.Milliseconds(), "waiting", len(p.waiting))
-	p.owner.absent = now + absentFor
+	p.owner.unavailableUntil = now + ownerRetryDelay
 	p.releaseWaiting()
 	return false
 }
 
-// releaseWaiting answers all asks to be placed here. The lock must be held.
+// releaseWaiting has all waiting requests placed locally. The lock must be held.
 func (p *Placer) releaseWaiting() {
 	for n, wt := range p.waiting {
 		delete(p.waiting, n)
-		p.up.Ends = append(p.up.Ends, placewire.End{Number: n, Outcome: api.WorkUnsent})
-		wt.answer <- answer{local: true}
+		p.pending.Ends = append(p.pending.Ends, placewire.End{Number: n, Outcome: api.WorkUnsent})
+		wt.response <- ownerResponse{placeLocally: true}
 	}
-	p.wake()
+	p.signalSend()
 }
 
-// placeEngineLocal places a model request here and tells the owner about it.
-func (p *Placer) placeEngineLocal(w *api.Work, why string) (*placed, error) {
-	l, err := p.placeLocal(w)
-	p.fallback.Inc()
+// placeEngineLocal places a model request locally and reports it to the owner.
+func (p *Placer) placeEngineLocal(w *api.Work, reason string) (*assignment, error) {
+	a, err := p.placeLocal(w)
+	p.localPlacements.Inc()
 	if err != nil {
 		return nil, err
 	}
-	p.log.Info("placed", "step", "place", "request", w.RequestID, "by", "entry", "why", why, "target", l.target.ID)
+	p.log.Info("placed", "step", "place", "request", w.RequestID, "by", "entry", "why", reason, "target", a.target.ID)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.number++ // not the number of the ask, which the owner is told has ended
-	l.number = p.number
-	p.running[l.number] = l
-	p.up.Running = append(p.up.Running, l.report(p.clock.Now()))
-	p.wake()
-	return l, nil
+	p.lastNumber++ // a new one, because the end of the request's former number is reported
+	a.number = p.lastNumber
+	p.running[a.number] = a
+	p.pending.Running = append(p.pending.Running, a.report(p.clock.Now()))
+	p.signalSend()
+	return a, nil
 }
 
 // report describes a running request to the owner.
-func (l *placed) report(now time.Duration) placewire.Running {
-	return placewire.Running{Ask: placewire.NewAsk(l.number, l.work, now), Target: l.target.ID, Began: l.began, AgoMs: (now - l.begin).Milliseconds()}
+func (a *assignment) report(now time.Duration) placewire.Running {
+	return placewire.Running{Ask: placewire.NewAsk(a.number, a.work, now), Target: a.target.ID, Began: a.responseStarted, AgoMs: (now - a.startedAt).Milliseconds()}
 }
 
-// take makes a placement of a grant.
-func (p *Placer) take(w *api.Work, number uint64, g placewire.Grant) (api.Placement, error) {
-	p.remote.Inc()
+// acceptGrant starts a request on the target that the owner has granted.
+func (p *Placer) acceptGrant(w *api.Work, number uint64, g placewire.Grant) (api.Placement, error) {
+	p.ownerGrants.Inc()
 	p.log.Info("placed", "step", "place", "request", w.RequestID, "by", "owner", "target", g.Target,
 		"wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.Missing, "least_missing_tokens", g.Least, "least_wait_ms", g.LeastWaitMs, "term", g.Term)
-	l := &placed{p: p, work: w, begin: p.clock.Now(), by: "owner", number: number, at: p.instant()}
-	l.target, _ = p.directory.Target(g.Target) // permit refuses one that is gone
+	a := &assignment{placer: p, work: w, startedAt: p.clock.Now(), chosenBy: "owner", number: number, chosenAt: p.instant()}
+	a.target, _ = p.directory.Target(g.Target) // checkTarget rejects a removed target later
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.running[number] = l
-	p.local.Start(l.target)
-	return l, nil
+	p.running[number] = a
+	p.local.Start(a.target)
+	return a, nil
 }
 
+// refusal converts the owner's refusal of a request for the caller.
 func (p *Placer) refusal(w *api.Work, g placewire.Grant) *api.Refusal {
 	return &api.Refusal{
 		Code: g.Code, Status: 503, Run: api.NotRun, Step: "place",
@@ -269,67 +275,69 @@
 	}
 }
 
-// leaderChanged takes a new owner and tells it what waits and runs here.
+// leaderChanged switches to a new owner and sends it a full report of the waiting and
+// running requests.
 func (p *Placer) leaderChanged(name string, term uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.owner = ownerState{name: name, term: term}
-	p.owner.silence.heard(p.clock.Now())
-	p.reportAll()
+	p.owner.silence.reset(p.clock.Now())
+	p.queueFullReport()
 }
 
-// linkChanged repeats the report after the link to the owner was lost, and with
-// it perhaps messages.
+// linkChanged sends a full report when the link to the owner is up again, because messages
+// may have been lost with the former link.
 func (p *Placer) linkChanged(c api.LinkChange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.Up && c.Peer == p.owner.name {
-		p.reportAll()
+		p.queueFullReport()
 	}
 }
 
-// reportAll replaces the news for the owner by all that waits and runs here. The
-// lock must be held.
-func (p *Placer) reportAll() {
+// queueFullReport replaces the pending message by a full report of the waiting and running
+// requests. The lock must be held.
+func (p *Placer) queueFullReport() {
 	now := p.clock.Now()
-	p.up = placewire.Up{Whole: true}
-	for _, l := range p.running {
-		p.up.Running = append(p.up.Running, l.report(now))
+	p.pending = placewire.Up{Whole: true}
+	for _, a := range p.running {
+		p.pending.Running = append(p.pending.Running, a.report(now))
 	}
 	for n, wt := range p.waiting {
-		p.up.Asks = append(p.up.Asks, placewire.NewAsk(n, wt.work, now))
+		p.pending.Asks = append(p.pending.Asks, placewire.NewAsk(n, wt.work, now))
 	}
-	p.wake()
+	p.signalSend()
 }
 
-// wake has the pending message sent.
-func (p *Placer) wake() { kernel.Signal(p.kick) }
+// signalSend wakes sendLoop to send the pending message.
+func (p *Placer) signalSend() { kernel.Signal(p.sendSignal) }
 
+// sendLoop sends the pending message whenever it has content.
 func (p *Placer) sendLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.kick:
+		case <-p.sendSignal:
 		}
-		if p.send() {
+		if p.sendPending() {
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(resendPause):
+		case <-time.After(resendDelay):
 		}
 	}
 }
 
-// send tells the owner what has happened since the last message. Without an owner
-// the news is dropped: the next one gets a whole report. It reports false if the
-// message cannot be sent now.
-func (p *Placer) send() bool {
+// sendPending sends the pending message to the owner. Without an owner the message is
+// dropped, because the next owner receives a full report. It reports false if the message
+// could not be sent; a full report is pending then.
+func (p *Placer) sendPending() bool {
 	p.mu.Lock()
-	u := p.up
-	p.up = placewire.Up{}
+	u := p.pending
+	p.pending = placewire.Up{}
 	owner := p.owner
 	p.mu.Unlock()
 	if owner.name == "" {
@@ -337,9 +345,9 @@
 	}
 	u.Term, u.DataCentre = owner.term, p.dataCentre
 	if err := p.mesh.Notify(owner.name, placewire.MethodUp, u); err != nil {
-		p.log.Debug("owner not told", "step", "owner", "peer", owner.name, "error", err)
+		p.log.Debug("report to the owner not sent", "step", "owner", "peer", owner.name, "error", err)
 		p.mu.Lock()
-		p.reportAll()
+		p.queueFullReport()
 		p.mu.Unlock()
 		return false
 	}
@@ -358,41 +366,41 @@
 	}
 	now := p.clock.Now()
 	if d.Not {
-		p.owner.absent = now + absentFor
+		p.owner.unavailableUntil = now + ownerRetryDelay
 		p.releaseWaiting()
 		return nil, nil
 	}
-	p.owner.silence.heard(now)
+	p.owner.silence.reset(now)
 	if len(p.waiting) > 0 {
-		p.look(now)
+		p.checkSuspension(now)
 	}
 	for _, g := range d.Grants {
-		p.deliver(g)
+		p.deliverGrant(g)
 	}
 	return nil, nil
 }
 
-// deliver gives an answer to its ask. A grant that nobody waits for is given back.
-// The lock must be held.
-func (p *Placer) deliver(g placewire.Grant) {
+// deliverGrant passes the owner's decision to the request that waits for it. A grant for a
+// request that no longer waits is released. The lock must be held.
+func (p *Placer) deliverGrant(g placewire.Grant) {
 	wt := p.waiting[g.Number]
 	if wt == nil {
 		if g.Target != "" && p.running[g.Number] == nil {
-			p.up.Ends = append(p.up.Ends, placewire.End{Number: g.Number, Outcome: api.WorkUnsent})
-			p.wake()
+			p.pending.Ends = append(p.pending.Ends, placewire.End{Number: g.Number, Outcome: api.WorkUnsent})
+			p.signalSend()
 		}
 		return
 	}
 	delete(p.waiting, g.Number)
-	if wt.asked < p.wokeAt && g.Target != "" {
-		// It may have waited for this process as long as the pause was.
-		p.expire("it was asked for before a pause", p.clock.Now()-wt.asked)
-		p.up.Ends = append(p.up.Ends, placewire.End{Number: g.Number, Outcome: api.WorkUnsent})
-		p.wake()
-		wt.answer <- answer{again: true}
+	if wt.askedAt < p.suspensionEnd && g.Target != "" {
+		// The grant may have been in the receive buffer for the whole suspension.
+		p.recordExpired("requested before a suspension", p.clock.Now()-wt.askedAt)
+		p.pending.Ends = append(p.pending.Ends, placewire.End{Number: g.Number, Outcome: api.WorkUnsent})
+		p.signalSend()
+		wt.response <- ownerResponse{askAgain: true}
 		return
 	}
-	p.flood.Tell(wt.work.Workspace, g.Pass(), p.clock.Now())
+	p.throttle.Tell(wt.work.Workspace, g.Pass(), p.clock.Now())
 	g.Term = p.owner.term
-	wt.answer <- answer{grant: g}
+	wt.response <- ownerResponse{grant: g}
 }
--- a/plugin/placer/setup.go
+++ b/plugin/placer/setup.go
@@ -1,7 +1,7 @@
-// Package placer finds targets for the requests of an entry instance. It provides
-// api.Placer. Model requests are placed by the owner on the control leader, which
-// sees the work of all entry instances; plain requests, and all requests while no
-// owner answers, are placed here.
+// Package placer assigns the requests of an entry instance to targets. It provides
+// api.Placer. Model requests are placed by the owner on the control leader, which sees
+// the work of all entry instances. Plain requests, and all requests while no owner
+// responds, are placed locally.
 package placer
 
 import (
@@ -27,7 +27,7 @@
 	})
 }
 
-// Placer implements api.Placer. It must be provisioned before use.
+// Placer is the plug-in that implements api.Placer. It must be provisioned before use.
 type Placer struct {
 	mesh       api.Mesh
 	topology   api.Topology
@@ -39,30 +39,30 @@
 
 	instant func() kernel.Instant
 
-	mu      sync.Mutex
-	local   *placement.Local
-	flood   *placement.Flood
-	owner   ownerState
-	number  uint64             // of the newest model request
-	waiting map[uint64]*waiter // asks without an answer
-	lapse   kernel.Lapse       // looked at while requests wait
-	wokeAt  time.Duration      // when this process last ran again after a pause
-	running map[uint64]*placed // model requests on targets
-	up      placewire.Up       // not sent yet
-	kick    chan struct{}      // up has content
-	watch   chan struct{}      // a request begins to wait
+	mu            sync.Mutex
+	local         *placement.Local
+	throttle      *placement.Flood
+	owner         ownerState
+	lastNumber    uint64                 // number of the newest model request
+	waiting       map[uint64]*waiter     // model requests without the owner's response, by number
+	suspension    kernel.Lapse           // checked while requests wait
+	suspensionEnd time.Duration          // when this process last resumed after a suspension
+	running       map[uint64]*assignment // model requests on targets, by number
+	pending       placewire.Up           // message to the owner that is not sent yet
+	sendSignal    chan struct{}          // pending has content
+	watchSignal   chan struct{}          // the first request waits
 
-	remote, fallback, unanswered, held, expired *metrics.Counter
-	wait                                        *metrics.Histogram
+	ownerGrants, localPlacements, ownerTimeouts, throttled, expiredGrants *metrics.Counter
+	waitSeconds                                                           *metrics.Histogram
 }
 
-// ownerState is what this instance knows of the owner.
+// ownerState is this instance's state of the current owner.
 type ownerState struct {
-	name   string
-	term   uint64
-	absent time.Duration // not asked until then
+	name             string
+	term             uint64
+	unavailableUntil time.Duration // no requests are sent to it before
 
-	silence silence
+	silence silenceTimer
 }
 
 // Provision implements kernel.Plugin.
@@ -80,17 +80,17 @@
 		return err
 	}
 	p.clock, p.log, p.dataCentre = c.Clock, c.Log.With("plugin", "placer"), c.Settings.DataCentre
-	p.local, p.flood = placement.NewLocal(p.dataCentre), placement.NewFlood()
-	p.waiting, p.running, p.kick = map[uint64]*waiter{}, map[uint64]*placed{}, make(chan struct{}, 1)
-	p.watch, p.instant = make(chan struct{}, 1), kernel.Now
-	p.remote = c.Metrics.NewCounter("nutmeg_placer_owner_grants_total")
-	p.fallback = c.Metrics.NewCounter("nutmeg_placer_local_total")
-	p.held = c.Metrics.NewCounter("nutmeg_placer_held_back_total")
-	p.expired = c.Metrics.NewCounter("nutmeg_placer_grants_expired_total")
-	p.unanswered = c.Metrics.NewCounter("nutmeg_placer_unanswered_total")
-	p.wait = c.Metrics.NewHistogram("nutmeg_placer_wait_seconds")
+	p.local, p.throttle = placement.NewLocal(p.dataCentre), placement.NewFlood()
+	p.waiting, p.running, p.sendSignal = map[uint64]*waiter{}, map[uint64]*assignment{}, make(chan struct{}, 1)
+	p.watchSignal, p.instant = make(chan struct{}, 1), kernel.Now
+	p.ownerGrants = c.Metrics.NewCounter("nutmeg_placer_owner_grants_total")
+	p.localPlacements = c.Metrics.NewCounter("nutmeg_placer_local_total")
+	p.throttled = c.Metrics.NewCounter("nutmeg_placer_held_back_total")
+	p.expiredGrants = c.Metrics.NewCounter("nutmeg_placer_grants_expired_total")
+	p.ownerTimeouts = c.Metrics.NewCounter("nutmeg_placer_unanswered_total")
+	p.waitSeconds = c.Metrics.NewHistogram("nutmeg_placer_wait_seconds")
 	p.mesh.Handle(placewire.MethodDown, p.handleDown)
-	p.directory.OnChange(p.listChanged)
+	p.directory.OnChange(p.targetsChanged)
 	p.topology.OnLeader(p.leaderChanged)
 	roster, err := kernel.Lookup[api.Roster](c)
 	if err != nil {
@@ -107,25 +107,26 @@
 	return nil
 }
 
-func (p *Placer) listChanged() {
+// targetsChanged discards the local state of removed targets.
+func (p *Placer) targetsChanged() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.local.Keep(p.directory.Targets())
 }
 
-// Errors of a placement that must not be used any more.
+// Errors of an assignment whose target must not be used any more.
 var (
-	errLeaving = errors.New("the target leaves or is gone")
-	errOut     = errors.New("the target's data centre is out of service")
+	errTargetLeaving = errors.New("the target leaves or is gone")
+	errDataCentreOut = errors.New("the target's data centre is out of service")
 )
 
-// permit reports whether a target may still get a request.
-func (p *Placer) permit(t api.Target) error {
+// checkTarget returns an error if the target must not receive a request any more.
+func (p *Placer) checkTarget(t api.Target) error {
 	if p.fleet.View().Out[t.DataCentre] {
-		return errOut
+		return errDataCentreOut
 	}
-	if have, ok := p.directory.Target(t.ID); ok && have.BornMs == t.BornMs && !have.Leaving {
+	if current, ok := p.directory.Target(t.ID); ok && current.BornMs == t.BornMs && !current.Leaving {
 		return nil
 	}
-	return errLeaving
+	return errTargetLeaving
 }
--- a/plugin/placer/silence.go
+++ b/plugin/placer/silence.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// pulseEvery separates the looks at the owner's silence.
-	pulseEvery = 50 * time.Millisecond
-	// pulseMost is the most that one look adds. A process that was frozen or has no
-	// processor time left finds the owner's messages unread, not missing.
-	pulseMost = 2 * pulseEvery
+	// silenceCheckInterval is the interval of checks of the owner's silence.
+	silenceCheckInterval = 50 * time.Millisecond
+	// maxSilenceStep is the most that one check adds. After a suspension, or without
+	// processor time, the owner's messages are unread rather than missing.
+	maxSilenceStep = 2 * silenceCheckInterval
 )
 
-// silence measures for how long the owner has said nothing while this process ran.
-type silence struct {
-	last  time.Duration // look, or message of the owner
-	total time.Duration
+// silenceTimer measures how long the owner has sent no message while this process was
+// running.
+type silenceTimer struct {
+	lastCheck time.Duration // time of the last check or message of the owner
+	elapsed   time.Duration
 }
 
-// heard begins anew.
-func (s *silence) heard(now time.Duration) { s.last, s.total = now, 0 }
+// reset sets the silence to zero.
+func (s *silenceTimer) reset(now time.Duration) { s.lastCheck, s.elapsed = now, 0 }
 
-// look adds the time since the last look and returns the silence.
-func (s *silence) look(now time.Duration) time.Duration {
-	s.total += min(now-s.last, pulseMost)
-	s.last = now
-	return s.total
+// advance adds the time since the last check, at most maxSilenceStep, and returns the
+// silence so far.
+func (s *silenceTimer) advance(now time.Duration) time.Duration {
+	s.elapsed += min(now-s.lastCheck, maxSilenceStep)
+	s.lastCheck = now
+	return s.elapsed
 }
--- a/plugin/placer/silence_test.go
+++ b/plugin/placer/silence_test.go
@@ -7,19 +7,19 @@
 	"github.com/matryer/is"
 )
 
-// Guards against an instance that was frozen, or has no processor time left, and
-// takes the owner for silent because it has not read its messages.
-func TestSilence(t *testing.T) {
+// Guards against an instance that was suspended, or has no processor time left, and
+// counts the owner as silent because it has not read the owner's messages.
+func TestSilenceTimer(t *testing.T) {
 	is := is.New(t)
-	var s silence
+	var s silenceTimer
 	at := 10 * time.Second
-	s.heard(at)
+	s.reset(at)
 	for range 5 {
-		at += pulseEvery
-		s.look(at)
+		at += silenceCheckInterval
+		s.advance(at)
 	}
-	is.Equal(s.look(at), 5*pulseEvery)
-	is.Equal(s.look(at+time.Hour), 5*pulseEvery+pulseMost) // frozen for an hour
-	s.heard(at + time.Hour)
-	is.Equal(s.look(at+time.Hour), time.Duration(0))
+	is.Equal(s.advance(at), 5*silenceCheckInterval)
+	is.Equal(s.advance(at+time.Hour), 5*silenceCheckInterval+maxSilenceStep) // suspended for an hour
+	s.reset(at + time.Hour)
+	is.Equal(s.advance(at+time.Hour), time.Duration(0))
 }
