--- a/plugin/scheduler/ownership.go
+++ b/plugin/scheduler/ownership.go
@@ -10,8 +10,8 @@
 	"nutmegrouter/internal/schedule"
 )
 
-// syncOwnership starts and ends runs by what the lease says and applies a newer
-// view.
+// syncOwnership starts and ends the ownership of pools as the lease reports it, and applies
+// a newer view of the configuration.
 func (s *Scheduler) syncOwnership(now time.Duration) {
 	if s.resigning {
 		return
@@ -20,30 +20,31 @@
 	if v.Config == nil {
 		return
 	}
-	fresh := v.Revision != s.revision
-	if fresh {
+	viewChanged := v.Revision != s.revision
+	if viewChanged {
 		s.revision = v.Revision
-		s.seek(v)
+		s.setLeasePools(v)
 	}
-	changed := fresh
+	changed := viewChanged
 	for i := range v.Config.Pools {
 		pool := v.Config.Pools[i].Name
 		started := s.syncPool(pool, now)
-		if r := s.runs[pool]; r != nil && (started || fresh) {
-			s.configure(r, v, &v.Config.Pools[i], now)
+		if op := s.owned[pool]; op != nil && (started || viewChanged) {
+			s.configure(op, v, &v.Config.Pools[i], now)
 		}
 		changed = changed || started
 	}
 	if changed {
-		s.endUnknown(v)
-		s.plan()
-		kernel.Signal(s.polls)
-		kernel.Signal(s.lists)
+		s.endRemoved(v)
+		s.updatePollPlan()
+		kernel.Signal(s.pollSignal)
+		kernel.Signal(s.listSignal)
 	}
 }
 
-// seek tells the lease which pools to seek.
-func (s *Scheduler) seek(v *api.View) {
+// setLeasePools passes the names of the configured pools to the lease, which seeks their
+// ownership.
+func (s *Scheduler) setLeasePools(v *api.View) {
 	names := make([]string, len(v.Config.Pools))
 	for i, p := range v.Config.Pools {
 		names[i] = p.Name
@@ -51,41 +52,44 @@
 	s.lease.SetPools(names)
 }
 
-// syncPool reports whether a run was started.
+// syncPool starts or ends the ownership of a pool as the lease reports it. It reports
+// whether it was started.
 func (s *Scheduler) syncPool(pool string, now time.Duration) bool {
 	epoch, ok := s.lease.Holds(pool)
-	r := s.runs[pool]
-	if r != nil && (!ok || r.owner.Epoch() != epoch) {
-		s.end(pool, r)
-		r = nil
+	op := s.owned[pool]
+	if op != nil && (!ok || op.owner.Epoch() != epoch) {
+		s.endOwnership(pool, op)
+		op = nil
 	}
-	if r != nil || !ok {
+	if op != nil || !ok {
 		return false
 	}
-	s.runs[pool] = &run{
-		owner:  schedule.NewOwner(pool, epoch, s.dataCentres, now),
-		since:  now,
-		counts: newCounters(s.kernel.Metrics, pool),
-		loads:  map[string]loadState{},
+	s.owned[pool] = &ownedPool{
+		owner:      schedule.NewOwner(pool, epoch, s.dataCentres, now),
+		ownedSince: now,
+		metrics:    newPoolMetrics(s.kernel.Metrics, pool),
+		loadStates: map[string]loadState{},
 	}
 	s.kernel.Events.Record(kernel.Event{Kind: "sched", Step: "start", Pool: pool, Epoch: epoch})
 	return true
 }
 
-func (s *Scheduler) endUnknown(v *api.View) {
-	for pool, r := range s.runs {
+// endRemoved ends the ownership of pools that are no longer configured.
+func (s *Scheduler) endRemoved(v *api.View) {
+	for pool, op := range s.owned {
 		if _, ok := v.Config.FindPool(pool); !ok {
-			s.end(pool, r)
+			s.endOwnership(pool, op)
 		}
 	}
 }
 
-func (s *Scheduler) configure(r *run, v *api.View, p *fleetconfig.Pool, now time.Duration) {
+// configure applies the workspaces and targets of a view to an owned pool.
+func (s *Scheduler) configure(op *ownedPool, v *api.View, p *fleetconfig.Pool, now time.Duration) {
 	weights := make(map[string]float64, len(v.Config.Workspaces))
 	for _, w := range v.Config.Workspaces {
 		weights[w.Name] = w.Weight
 	}
-	r.owner.SetWeights(weights)
+	op.owner.SetWeights(weights)
 	var targets []limits.Config
 	for _, t := range v.Config.Targets {
 		if t.Pool == p.Name {
@@ -93,26 +97,26 @@
 				Name: t.Name, DataCentre: t.DataCentre,
 				WarmCapacity: t.WarmCapacity, ColdCapacity: t.ColdCapacity,
 				EvidenceLife: p.EvidenceLife(), RequestLimit: p.RequestLimit(),
-				// A report is as old as its lag and the poll that fetched it.
+				// The age of a report is its lag plus the duration of the poll.
 				ReportLag: p.ReportLag() + pollTimeout,
 			})
 		}
 	}
-	l := r.owner.Limits()
+	l := op.owner.Limits()
 	l.Configure(targets, now)
 	l.SetOut(v.Out, now)
 	l.SetLeaving(s.leaving, now)
 }
 
-// plan tells the polls which targets belong to owned pools.
-func (s *Scheduler) plan() {
-	plan := &pollPlan{owning: len(s.runs) > 0}
+// updatePollPlan sets the targets of the owned pools as those to poll.
+func (s *Scheduler) updatePollPlan() {
+	plan := &pollPlan{owning: len(s.owned) > 0}
 	if v := s.fleet.View(); v.Config != nil {
 		for _, t := range v.Config.Targets {
-			if s.runs[t.Pool] != nil {
+			if s.owned[t.Pool] != nil {
 				plan.targets = append(plan.targets, pollTarget{t.Pool, t.Name, t.Address})
 			}
 		}
 	}
-	s.polled.Store(plan)
+	s.plan.Store(plan)
 }
--- a/plugin/scheduler/polls.go
+++ b/plugin/scheduler/polls.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	pollEvery = time.Second
-	// urgentEvery is the interval of polls of targets that carry work of a dead
-	// router, because only their reports free its slots.
-	urgentEvery = 250 * time.Millisecond
-	pollTimeout = 500 * time.Millisecond
-	pollersMost = 128 // polls under way at once
-	// idleListEvery is the interval of list polls on an instance without a pool:
-	// often enough to know the list at a takeover, and cheap for the platform.
-	idleListEvery = 5 * time.Second
-	maxLoadBytes  = 64 << 10
-	maxListBytes  = 16 << 20
+	pollInterval = time.Second
+	// urgentPollInterval is the interval of polls of targets that run work of a failed
+	// instance, because only load reports free the slots of that work.
+	urgentPollInterval = 250 * time.Millisecond
+	pollTimeout        = 500 * time.Millisecond
+	maxConcurrentPolls = 128
+	// idleListInterval is the interval of list polls on an instance that owns no pool. The
+	// list is then known at a takeover, at little cost for the platform.
+	idleListInterval = 5 * time.Second
+	maxLoadBytes     = 64 << 10
+	maxListBytes     = 16 << 20
 )
 
 type pollTarget struct{ pool, name, address string }
 
-// pollPlan lists the targets of the owned pools.
+// pollPlan lists the targets of the owned pools. owning is set if the instance owns a pool.
 type pollPlan struct {
 	owning  bool
 	targets []pollTarget
 }
 
-// loadResult is the result of one poll of a target.
+// loadResult is the result of one poll of a target: a report if ok is set, or a refused or
+// reset connection if refused is set, or else no usable response.
 type loadResult struct {
 	pollTarget
 	ok      bool
@@ -44,17 +45,18 @@
 	report  limits.Report
 }
 
-// listResult is an answer of the platform: the names and addresses of leaving
-// target instances.
+// listResult holds the leaving target instances of the platform's list.
 type listResult struct{ leaving []listEntry }
 
+// listEntry is a target instance in the platform's list.
 type listEntry struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	State   string `json:"state"`
 }
 
-type loadAnswer struct {
+// loadResponse is the body of a target's response to GET /load.
+type loadResponse struct {
 	State   string `json:"state"`
 	Boot    uint64 `json:"boot"`
 	Running int    `json:"running"`
@@ -71,52 +73,53 @@
 	}
 }
 
-// pollLoads polls the targets of the owned pools once a second, and at once when
-// the plan has changed; urgent ones more often.
+// pollLoads polls the targets of the owned pools every pollInterval and when the plan has
+// changed, and the urgent targets every urgentPollInterval.
 func (s *Scheduler) pollLoads(ctx context.Context) error {
-	all, urgent := time.NewTicker(pollEvery), time.NewTicker(urgentEvery)
+	all, urgent := time.NewTicker(pollInterval), time.NewTicker(urgentPollInterval)
 	defer all.Stop()
 	defer urgent.Stop()
-	targets := s.polled.Load().targets
+	targets := s.plan.Load().targets
 	for {
 		s.pollRound(ctx, targets)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-all.C:
-			targets = s.polled.Load().targets
-		case <-s.polls:
-			targets = s.polled.Load().targets
+			targets = s.plan.Load().targets
+		case <-s.pollSignal:
+			targets = s.plan.Load().targets
 		case <-urgent.C:
-			targets = *s.urgent.Load()
+			targets = *s.urgentTargets.Load()
 		}
 	}
 }
 
-// planUrgent lists the targets that carry work of dead routers.
+// planUrgent sets the targets that run work of failed instances as urgent ones.
 func (s *Scheduler) planUrgent() {
 	var out []pollTarget
-	for _, p := range s.polled.Load().targets {
-		r := s.runs[p.pool]
-		if r == nil {
+	for _, p := range s.plan.Load().targets {
+		op := s.owned[p.pool]
+		if op == nil {
 			continue
 		}
-		if t := r.owner.Limits().Target(p.name); t != nil && t.Orphans() > 0 {
+		if t := op.owner.Limits().Target(p.name); t != nil && t.Orphans() > 0 {
 			out = append(out, p)
 		}
 	}
-	s.urgent.Store(&out)
+	s.urgentTargets.Store(&out)
 }
 
+// pollRound polls targets concurrently and queues the results for the worker.
 func (s *Scheduler) pollRound(ctx context.Context, targets []pollTarget) {
 	var g errgroup.Group
-	g.SetLimit(pollersMost)
+	g.SetLimit(maxConcurrentPolls)
 	for _, t := range targets {
 		if ctx.Err() != nil {
 			break
 		}
 		g.Go(func() error {
-			s.in.Push(input{load: s.pollTarget(t)})
+			s.inbox.Push(input{load: s.pollTarget(t)})
 			return nil
 		})
 	}
@@ -130,9 +133,9 @@
 		out.refused = errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 		return out
 	}
-	var a loadAnswer
+	var a loadResponse
 	if err := json.Unmarshal(body, &a); err != nil {
-		s.decode.badLoad.Inc()
+		s.failures.badLoadReports.Inc()
 		return out
 	}
 	out.ok = true
@@ -144,8 +147,8 @@
 	return out
 }
 
-// get returns the body of a 200 response.
-func (s *Scheduler) get(url string, most int) ([]byte, error) {
+// get returns a copy of the body of a 200 response of at most maxBytes.
+func (s *Scheduler) get(url string, maxBytes int) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -153,35 +156,36 @@
 	if err := s.http.DoTimeout(req, resp, pollTimeout); err != nil {
 		return nil, errors.WithMessage(err, "poll "+url)
 	}
-	if resp.StatusCode() != fasthttp.StatusOK || len(resp.Body()) > most {
+	if resp.StatusCode() != fasthttp.StatusOK || len(resp.Body()) > maxBytes {
 		return nil, errors.Errorf("poll %s: status %d, %d bytes", url, resp.StatusCode(), len(resp.Body()))
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
 
+// onLoad applies the result of a load poll to the limits of the target.
 func (s *Scheduler) onLoad(l *loadResult, now time.Duration) {
-	r := s.runs[l.pool]
-	if r == nil {
+	op := s.owned[l.pool]
+	if op == nil {
 		return
 	}
 	switch {
 	case l.ok:
-		r.loads[l.name] = loadState{l.report.Warmth, l.report.Boot}
-		r.owner.Limits().Report(l.name, l.report, now)
+		op.loadStates[l.name] = loadState{l.report.Warmth, l.report.Boot}
+		op.owner.Limits().Report(l.name, l.report, now)
 	case l.refused:
-		r.owner.Limits().Refused(l.name, now)
+		op.owner.Limits().Refused(l.name, now)
 	default:
-		r.owner.Limits().Silent(l.name, now)
+		op.owner.Limits().Silent(l.name, now)
 	}
 }
 
-// pollList polls the platform's list: once a second while a pool is owned, and
-// at once when the plan has changed.
+// pollList polls the platform's list every pollInterval while the instance owns a pool, else
+// every idleListInterval. A change of the plan causes a poll at once while a pool is owned.
 func (s *Scheduler) pollList(ctx context.Context) error {
-	t := time.NewTicker(pollEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
-	for last := -idleListEvery; ; {
-		if s.polled.Load().owning || s.now()-last >= idleListEvery {
+	for last := -idleListInterval; ; {
+		if s.plan.Load().owning || s.now()-last >= idleListInterval {
 			last = s.now()
 			s.pollListOnce()
 		}
@@ -189,7 +193,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-t.C:
-		case <-s.lists:
+		case <-s.listSignal:
 		}
 	}
 }
@@ -197,12 +201,12 @@
 func (s *Scheduler) pollListOnce() {
 	body, err := s.get(s.kernel.Settings.PlatformList, maxListBytes)
 	if err != nil {
-		s.decode.listFailed.Inc()
+		s.failures.listFailures.Inc()
 		return // the last known list is kept
 	}
 	var all []listEntry
 	if err := json.Unmarshal(body, &all); err != nil {
-		s.decode.listFailed.Inc()
+		s.failures.listFailures.Inc()
 		return
 	}
 	out := &listResult{}
@@ -211,13 +215,12 @@
 			out.leaving = append(out.leaving, e)
 		}
 	}
-	s.in.Push(input{list: out})
+	s.inbox.Push(input{list: out})
 }
 
-// onList applies the platform's list. Entries are matched by name, or else by
-// address.
+// onList applies the platform's list. An entry matches a target by name or by address.
 func (s *Scheduler) onList(l *listResult, now time.Duration) {
-	s.listed = now
+	s.listReadAt = now
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for _, e := range l.leaving {
 		names[e.Name], addresses[e.Address] = true, true
@@ -231,7 +234,7 @@
 		}
 	}
 	s.leaving = leaving
-	for _, r := range s.runs {
-		r.owner.Limits().SetLeaving(leaving, now)
+	for _, op := range s.owned {
+		op.owner.Limits().SetLeaving(leaving, now)
 	}
 }
--- a/plugin/scheduler/setup.go
+++ b/plugin/scheduler/setup.go
@@ -1,6 +1,6 @@
-// Package scheduler runs the schedulers of the pools that this instance owns:
-// it feeds internal/schedule with the routers' messages, load reports and the
-// platform's list, and sends grants. It provides schedule.Local and
+// Package scheduler runs the schedulers of the pools that this instance owns. It passes
+// messages of the instances, load reports of targets and the platform's list to
+// internal/schedule, and sends the grants. It provides schedule.Local and
 // api.TargetStates.
 package scheduler
 
@@ -19,11 +19,11 @@
 )
 
 const (
-	inputSize  = 8192 // messages that may wait for the worker
-	tickEvery  = 10 * time.Millisecond
-	idleEvery  = 200 * time.Millisecond
-	flushEvery = time.Millisecond // shortest time between two batches of grants
-	second     = time.Second
+	inboxSize          = 8192 // messages queued for the worker
+	activeTickInterval = 10 * time.Millisecond
+	idleTickInterval   = 200 * time.Millisecond
+	minFlushInterval   = time.Millisecond // shortest time between two batches of grants
+	publishInterval    = time.Second
 )
 
 func init() {
@@ -34,8 +34,9 @@
 	})
 }
 
-// Scheduler owns pools on behalf of this instance. Its state belongs to one
-// worker; handlers and polls reach it through a ring.
+// Scheduler is the plug-in that schedules the pools that this instance owns. Its state
+// belongs to one worker; handlers and polls send to the worker through a bounded ring. It
+// must be provisioned before use.
 type Scheduler struct {
 	kernel *kernel.Context
 	mesh   api.Mesh
@@ -44,29 +45,30 @@
 	client schedule.Client
 	http   *fasthttp.Client
 
-	in       *kernel.Ring[input]
-	wake     chan struct{} // ownership or view may have changed
-	polls    chan struct{} // a poll of the targets is due at once
-	lists    chan struct{} // a poll of the platform's list is due at once
-	polled   atomic.Pointer[pollPlan]
-	urgent   atomic.Pointer[[]pollTarget]
-	urgentAt time.Duration
-	states   atomic.Pointer[map[string][]api.TargetState]
-	stop     chan chan struct{}
-
-	runs        map[string]*run
+	inbox            *kernel.Ring[input]
+	wakeSignal       chan struct{} // ownership or view may have changed
+	pollSignal       chan struct{} // a poll of the targets is due at once
+	listSignal       chan struct{} // a poll of the platform's list is due at once
+	plan             atomic.Pointer[pollPlan]
+	urgentTargets    atomic.Pointer[[]pollTarget]
+	urgentPlannedAt  time.Duration
+	states           atomic.Pointer[map[string][]api.TargetState]
+	handOverRequests chan chan struct{}
+
+	owned       map[string]*ownedPool
 	revision    uint64
 	dataCentres map[string]string // data centre of each instance
 	leaving     map[string]bool
-	listed      time.Duration // when the platform's list was last answered
-	flushed     time.Duration
-	served      time.Duration
+	listReadAt  time.Duration // when the platform's list was last read
+	flushedAt   time.Duration
+	publishedAt time.Duration
 	resigning   bool
-	service     schedule.ServiceMsg
-	decode      *decodeCounters
+	serviceMsg  schedule.ServiceMsg
+	failures    *errorCounters
 }
 
-// input is one message to the worker. Exactly one pointer is set.
+// input is one message to the worker. Exactly one pointer is set; from is the sending
+// instance of a demand or report.
 type input struct {
 	from   string
 	demand *schedule.DemandMsg
@@ -77,32 +79,32 @@
 
 // Provision implements kernel.Plugin.
 func (s *Scheduler) Provision(c *kernel.Context) error {
-	if err := s.lookUp(c); err != nil {
+	if err := s.lookUpDependencies(c); err != nil {
 		return err
 	}
 	s.kernel = c
 	s.http = newHTTP()
-	s.in = kernel.NewRing[input](c.Metrics, "scheduler", inputSize)
-	s.wake, s.polls, s.lists = make(chan struct{}, 1), make(chan struct{}, 1), make(chan struct{}, 1)
-	s.stop = make(chan chan struct{})
-	s.runs, s.dataCentres = map[string]*run{}, map[string]string{}
-	s.decode = newDecodeCounters(c.Metrics)
+	s.inbox = kernel.NewRing[input](c.Metrics, "scheduler", inboxSize)
+	s.wakeSignal, s.pollSignal, s.listSignal = make(chan struct{}, 1), make(chan struct{}, 1), make(chan struct{}, 1)
+	s.handOverRequests = make(chan chan struct{})
+	s.owned, s.dataCentres = map[string]*ownedPool{}, map[string]string{}
+	s.failures = newErrorCounters(c.Metrics)
 	for _, p := range c.Settings.Peers {
 		s.dataCentres[p.Instance] = p.DataCentre
 	}
-	s.polled.Store(&pollPlan{})
-	s.urgent.Store(&[]pollTarget{})
+	s.plan.Store(&pollPlan{})
+	s.urgentTargets.Store(&[]pollTarget{})
 	s.mesh.Handle(schedule.MethodDemand, s.onDemand)
 	s.mesh.Handle(schedule.MethodReport, s.onReport)
-	s.lease.OnChange(s.kick)
-	s.fleet.OnChange(func(*api.View) { s.kick() })
+	s.lease.OnChange(s.wakeWorker)
+	s.fleet.OnChange(func(*api.View) { s.wakeWorker() })
 	if err := kernel.Provide[api.TargetStates](c, s); err != nil {
 		return err
 	}
 	return kernel.Provide[schedule.Local](c, s)
 }
 
-func (s *Scheduler) lookUp(c *kernel.Context) (err error) {
+func (s *Scheduler) lookUpDependencies(c *kernel.Context) (err error) {
 	if s.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
 	}
@@ -115,7 +117,7 @@
 
 // Start implements kernel.Starter.
 func (s *Scheduler) Start(d *kernel.Duties) error {
-	d.Go("scheduler", s.work)
+	d.Go("scheduler", s.runWorker)
 	d.Go("scheduler polls", s.pollLoads)
 	if s.kernel.Settings.PlatformList != "" {
 		d.Go("scheduler platform list", s.pollList)
@@ -123,12 +125,13 @@
 	return nil
 }
 
-// Drain implements kernel.Drainer: it sends the whole virtual service table to
-// the routers, stops granting and gives up ownership.
+// Drain implements kernel.Drainer: it sends the whole virtual service table to all
+// instances, stops granting and resigns ownership. The error is that of the context or of
+// the resignation.
 func (s *Scheduler) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	select {
-	case s.stop <- done:
+	case s.handOverRequests <- done:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -140,38 +143,38 @@
 	return errors.WithMessage(s.lease.Resign(ctx), "resign ownership")
 }
 
-// Attach implements schedule.Local.
+// Attach implements schedule.Local. It must be called before Start.
 func (s *Scheduler) Attach(c schedule.Client) { s.client = c }
 
-// Demand implements schedule.Local.
+// Demand implements schedule.Local. It reports false if the ring is full.
 func (s *Scheduler) Demand(m *schedule.DemandMsg) bool {
-	return s.in.Push(input{from: s.mesh.Self(), demand: m})
+	return s.inbox.Push(input{from: s.mesh.Self(), demand: m})
 }
 
-// Report implements schedule.Local.
+// Report implements schedule.Local. It reports false if the ring is full.
 func (s *Scheduler) Report(m *schedule.ReportMsg) bool {
-	return s.in.Push(input{from: s.mesh.Self(), report: m})
+	return s.inbox.Push(input{from: s.mesh.Self(), report: m})
 }
 
 func (s *Scheduler) onDemand(_ context.Context, from string, params json.RawMessage) (any, error) {
 	m := &schedule.DemandMsg{}
 	if err := m.UnmarshalJSON(params); err != nil {
-		s.decode.bad.Inc()
+		s.failures.badMessages.Inc()
 		return nil, errors.WithMessagef(err, "demand from %s", from)
 	}
-	s.in.Push(input{from: from, demand: m})
+	s.inbox.Push(input{from: from, demand: m})
 	return nil, nil
 }
 
 func (s *Scheduler) onReport(_ context.Context, from string, params json.RawMessage) (any, error) {
 	m := &schedule.ReportMsg{}
 	if err := m.UnmarshalJSON(params); err != nil {
-		s.decode.bad.Inc()
+		s.failures.badMessages.Inc()
 		return nil, errors.WithMessagef(err, "report from %s", from)
 	}
-	s.in.Push(input{from: from, report: m})
+	s.inbox.Push(input{from: from, report: m})
 	return nil, nil
 }
 
-// kick makes the worker look at ownership and the view. It never blocks.
-func (s *Scheduler) kick() { kernel.Signal(s.wake) }
+// wakeWorker makes the worker check ownership and the view. It never blocks.
+func (s *Scheduler) wakeWorker() { kernel.Signal(s.wakeSignal) }
--- a/plugin/scheduler/states.go
+++ b/plugin/scheduler/states.go
@@ -4,14 +4,14 @@
 	"nutmegrouter/internal/api"
 )
 
-// loadState is what a target's newest load report said.
+// loadState is the warmth and boot number of a target's newest load report.
 type loadState struct {
 	warmth api.Warmth
 	boot   uint64
 }
 
-// States implements api.TargetStates. The slice is a copy that the caller may
-// change.
+// States implements api.TargetStates. The states are at most about a second old; the
+// result is empty if this instance does not own the pool. The caller may change the slice.
 func (s *Scheduler) States(pool string) []api.TargetState {
 	published := s.states.Load()
 	if published == nil {
@@ -20,16 +20,16 @@
 	return append([]api.TargetState(nil), (*published)[pool]...)
 }
 
-// publishStates makes a snapshot of the targets of the owned pools.
+// publishStates stores a snapshot of the targets of the owned pools for States.
 func (s *Scheduler) publishStates() {
-	out := make(map[string][]api.TargetState, len(s.runs))
+	out := make(map[string][]api.TargetState, len(s.owned))
 	if v := s.fleet.View(); v.Config != nil {
 		for _, t := range v.Config.Targets {
-			r := s.runs[t.Pool]
-			if r == nil {
+			op := s.owned[t.Pool]
+			if op == nil {
 				continue
 			}
-			load := r.loads[t.Name]
+			load := op.loadStates[t.Name]
 			out[t.Pool] = append(out[t.Pool], api.TargetState{
 				Target: t, Warmth: load.warmth, Boot: load.boot,
 				Leaving: s.leaving[t.Name], Out: v.Out[t.DataCentre],
--- a/plugin/scheduler/worker.go
+++ b/plugin/scheduler/worker.go
@@ -9,72 +9,73 @@
 	"nutmegrouter/internal/schedule"
 )
 
-// listWait bounds how long a new owner waits for the platform's list, so that
-// it grants nothing on a target that is known to leave.
-const listWait = 500 * time.Millisecond
-
-// batchLimit bounds the messages handled between two rounds of grants.
-const batchLimit = 512
-
-// run is one owned pool.
-type run struct {
-	owner  *schedule.Owner
-	since  time.Duration
-	ended  bool
-	counts *counters
-	loads  map[string]loadState // newest load reports by target
+// maxListWait bounds how long a new owner waits for the platform's list, so that it does
+// not grant requests on a target that is leaving.
+const maxListWait = 500 * time.Millisecond
+
+// maxBatch is the number of messages after which grants are scheduled again.
+const maxBatch = 512
+
+// ownedPool is the state of a pool that this instance owns.
+type ownedPool struct {
+	owner      *schedule.Owner
+	ownedSince time.Duration
+	leaseLost  bool
+	metrics    *poolMetrics
+	loadStates map[string]loadState // newest load reports by target
 }
 
-// work is the worker that owns all scheduling state.
-func (s *Scheduler) work(ctx context.Context) error {
+// runWorker is the only goroutine that accesses the scheduling state.
+func (s *Scheduler) runWorker(ctx context.Context) error {
 	owning := false
 	tick := time.NewTicker(tickInterval(owning))
 	defer tick.Stop()
 	flush := time.NewTimer(time.Hour)
 	defer flush.Stop()
-	s.kick()
+	s.wakeWorker()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case in := <-s.in.C():
+		case in := <-s.inbox.C():
 			s.handleBatch(in)
-		case <-s.wake:
+		case <-s.wakeSignal:
 			s.syncOwnership(s.now())
 		case <-tick.C:
 			s.tick(s.now())
 		case <-flush.C:
-		case done := <-s.stop:
+		case done := <-s.handOverRequests:
 			s.handOver(s.now())
 			close(done)
 		}
-		if wait := s.round(s.now()); wait > 0 {
+		if wait := s.scheduleAndSend(s.now()); wait > 0 {
 			flush.Reset(wait)
 		}
-		if owning != (len(s.runs) > 0) {
+		if owning != (len(s.owned) > 0) {
 			owning = !owning
 			tick.Reset(tickInterval(owning))
 		}
 	}
 }
 
-// tickInterval is long without a pool: changes of ownership wake the worker, and
-// idle wakeups cost processor time on every instance.
+// tickInterval returns the interval of ticks. It is long without a pool, because changes of
+// ownership wake the worker, and idle wakeups cost processor time on every instance.
 func tickInterval(owning bool) time.Duration {
 	if owning {
-		return tickEvery
+		return activeTickInterval
 	}
-	return idleEvery
+	return idleTickInterval
 }
 
 func (s *Scheduler) now() time.Duration { return s.kernel.Clock.Now() }
 
+// handleBatch handles a message and up to maxBatch more that are queued.
 func (s *Scheduler) handleBatch(in input) {
 	now := s.now()
 	s.handle(in, now)
-	for range batchLimit {
+	for range maxBatch {
 		select {
-		case in = <-s.in.C():
+		case in = <-s.inbox.C():
 			s.handle(in, now)
 		default:
 			return
@@ -85,12 +86,12 @@
 func (s *Scheduler) handle(in input, now time.Duration) {
 	switch {
 	case in.demand != nil:
-		if r := s.runs[in.demand.Pool]; r != nil {
-			r.owner.Demand(in.from, in.demand, now)
+		if op := s.owned[in.demand.Pool]; op != nil {
+			op.owner.Demand(in.from, in.demand, now)
 		}
 	case in.report != nil:
-		if r := s.runs[in.report.Pool]; r != nil {
-			r.owner.Report(in.from, in.report, now)
+		if op := s.owned[in.report.Pool]; op != nil {
+			op.owner.Report(in.from, in.report, now)
 		}
 	case in.load != nil:
 		s.onLoad(in.load, now)
@@ -99,27 +100,27 @@
 	}
 }
 
-// round grants what can be granted and sends it. If the last batch is too young
-// it returns the time to wait.
-func (s *Scheduler) round(now time.Duration) time.Duration {
+// scheduleAndSend makes all grants that are possible and sends them. If the last batch was
+// sent less than minFlushInterval ago, it returns the time to wait instead of sending.
+func (s *Scheduler) scheduleAndSend(now time.Duration) time.Duration {
 	pending := false
-	for _, r := range s.runs {
-		if s.listed >= r.since || now-r.since >= listWait || s.kernel.Settings.PlatformList == "" {
-			r.owner.Schedule(now)
+	for _, op := range s.owned {
+		if s.listReadAt >= op.ownedSince || now-op.ownedSince >= maxListWait || s.kernel.Settings.PlatformList == "" {
+			op.owner.Schedule(now)
 		}
-		pending = pending || r.owner.Pending()
+		pending = pending || op.owner.Pending()
 	}
 	if !pending {
 		return 0
 	}
-	if wait := flushEvery - (now - s.flushed); wait > 0 {
+	if wait := minFlushInterval - (now - s.flushedAt); wait > 0 {
 		return wait
 	}
-	s.flushed = now
-	for pool, r := range s.runs {
-		s.flush(r)
-		if r.ended {
-			s.end(pool, r)
+	s.flushedAt = now
+	for pool, op := range s.owned {
+		s.flush(op)
+		if op.leaseLost {
+			s.endOwnership(pool, op)
 		}
 	}
 	return 0
@@ -127,10 +128,10 @@
 
 // flush sends the messages of one pool. Ownership is checked again right before
 // each message, because the lease may have run out since the decision.
-func (s *Scheduler) flush(r *run) {
-	r.owner.Flush(func(to string, m *schedule.GrantMsg) bool {
-		if epoch, ok := s.lease.Holds(r.owner.Pool()); !ok || epoch != r.owner.Epoch() {
-			r.ended = true
+func (s *Scheduler) flush(op *ownedPool) {
+	op.owner.Flush(func(to string, m *schedule.GrantMsg) bool {
+		if epoch, ok := s.lease.Holds(op.owner.Pool()); !ok || epoch != op.owner.Epoch() {
+			op.leaseLost = true
 			return false
 		}
 		if to == s.mesh.Self() {
@@ -141,8 +142,8 @@
 	})
 }
 
-// notify encodes the message before it is queued, because its buffers are used
-// again after the call.
+// notify sends a message to an instance. It encodes the message before it is queued,
+// because the buffers of the message are reused after the call.
 func (s *Scheduler) notify(to, method string, m json.Marshaler) error {
 	raw, err := m.MarshalJSON()
 	if err != nil {
@@ -153,65 +154,70 @@
 
 func (s *Scheduler) tick(now time.Duration) {
 	s.syncOwnership(now)
-	for pool, r := range s.runs {
-		r.owner.Tick(now, s.mayHold)
-		s.record(pool, r)
+	for pool, op := range s.owned {
+		op.owner.Tick(now, s.mayHoldLease)
+		s.recordEvents(pool, op)
 	}
-	if now-s.urgentAt >= urgentEvery {
-		s.urgentAt = now
+	if now-s.urgentPlannedAt >= urgentPollInterval {
+		s.urgentPlannedAt = now
 		s.planUrgent()
 	}
-	if now-s.served >= second {
-		s.served = now
-		for _, r := range s.runs {
-			s.sendService(r, false)
-			r.counts.publish(r.owner)
+	if now-s.publishedAt >= publishInterval {
+		s.publishedAt = now
+		for _, op := range s.owned {
+			s.sendService(op, false)
+			op.metrics.publish(op.owner)
 		}
 		s.publishStates()
 	}
 }
 
-func (s *Scheduler) mayHold(instance string) bool {
+func (s *Scheduler) mayHoldLease(instance string) bool {
 	return instance == s.mesh.Self() || s.lease.MayHoldLease(instance)
 }
 
-func (s *Scheduler) sendService(r *run, all bool) {
-	m := &s.service
-	if !r.owner.Service(m, all) {
+// sendService sends the virtual service table of a pool to all instances if it has changed:
+// the accounts in use, or all accounts.
+func (s *Scheduler) sendService(op *ownedPool, all bool) {
+	m := &s.serviceMsg
+	if !op.owner.Service(m, all) {
 		return
 	}
 	for _, peer := range s.mesh.Peers() {
 		if err := s.notify(peer, schedule.MethodService, m); err != nil {
-			r.counts.serviceLost.Inc()
+			op.metrics.serviceLost.Inc()
 		}
 	}
 	s.client.Service(s.mesh.Self(), m)
 }
 
-// handOver ends all ownership after the routers were sent the whole table.
+// handOver sends the whole virtual service table of each owned pool to all instances and
+// ends the ownership. No pool is owned again afterwards.
 func (s *Scheduler) handOver(now time.Duration) {
 	s.resigning = true
-	for pool, r := range s.runs {
-		r.owner.Schedule(now)
-		s.flush(r)
-		s.sendService(r, true)
-		s.end(pool, r)
+	for pool, op := range s.owned {
+		op.owner.Schedule(now)
+		s.flush(op)
+		s.sendService(op, true)
+		s.endOwnership(pool, op)
 	}
-	s.polled.Store(&pollPlan{})
+	s.plan.Store(&pollPlan{})
 }
 
-func (s *Scheduler) end(pool string, r *run) {
-	r.counts.publish(r.owner)
-	delete(s.runs, pool)
-	s.kernel.Events.Record(kernel.Event{Kind: "sched", Step: "end", Pool: pool, Epoch: r.owner.Epoch()})
-	s.plan()
+// endOwnership publishes the last metrics of a pool that this instance no longer owns and
+// discards its state.
+func (s *Scheduler) endOwnership(pool string, op *ownedPool) {
+	op.metrics.publish(op.owner)
+	delete(s.owned, pool)
+	s.kernel.Events.Record(kernel.Event{Kind: "sched", Step: "end", Pool: pool, Epoch: op.owner.Epoch()})
+	s.updatePollPlan()
 }
 
-// record moves the owner's changes of state to the timeline.
-func (s *Scheduler) record(pool string, r *run) {
-	for _, n := range r.owner.Notes() {
+// recordEvents records the state changes of a pool as kernel events.
+func (s *Scheduler) recordEvents(pool string, op *ownedPool) {
+	for _, n := range op.owner.Notes() {
 		s.kernel.Events.Record(kernel.Event{
-			Kind: "sched", Step: n.Step, Pool: pool, Epoch: r.owner.Epoch(),
+			Kind: "sched", Step: n.Step, Pool: pool, Epoch: op.owner.Epoch(),
 			Peer: n.Peer, Target: n.Target, Detail: n.Detail,
 		})
 	}
