--- a/plugin/pool/client_test.go
+++ b/plugin/pool/client_test.go
@@ -19,7 +19,7 @@
 	"nutmegrouter/internal/api"
 )
 
-// eventually waits for a condition; the time is only a bound for a broken test.
+// eventually waits up to 15 s until a condition holds, and fails the test otherwise.
 func eventually(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -30,6 +30,7 @@
 	t.Fatalf("did not happen: %s", what)
 }
 
+// refusalOf returns the refusal in err, and fails the test without one.
 func refusalOf(t testing.TB, err error) *api.Refusal {
 	t.Helper()
 	var r *api.Refusal
@@ -39,6 +40,7 @@
 	return r
 }
 
+// expectRefused waits until a ticket is refused with the given code and as not run.
 func expectRefused(t testing.TB, tk api.Ticket, code string) {
 	t.Helper()
 	select {
@@ -51,6 +53,7 @@
 	}
 }
 
+// metric returns the value of a metric of the instance, or "".
 func (x *instance) metric(name string) string {
 	var b bytes.Buffer
 	x.k.Metrics.WritePrometheus(&b)
@@ -62,8 +65,8 @@
 	return ""
 }
 
-// Guards against refusals without code, run state or retry advice, and against
-// requests that wait on an instance that can never start them (R6).
+// Guards against refusals without code, run state or retry delay, and against requests
+// that stay queued on an instance that cannot start them (R6).
 func TestRefusals(t *testing.T) {
 	is := is.New(t)
 	cfg := oneTarget(t, 1, 1)
@@ -76,9 +79,9 @@
 	first, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	await(t, first)
-	late, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w", Deadline: fleet["a"].k.Clock.Now() + 50*time.Millisecond})
+	expiring, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w", Deadline: fleet["a"].k.Clock.Now() + 50*time.Millisecond})
 	is.NoErr(err)
-	expectRefused(t, late, "deadline")
+	expectRefused(t, expiring, "deadline")
 	var waiting []api.Ticket
 	for range 3 {
 		tk, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
@@ -88,13 +91,13 @@
 	_, err = c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
 	r := refusalOf(t, err)
 	again, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w", Admitted: true})
-	is.NoErr(err) // a further attempt keeps its admission
+	is.NoErr(err) // a further attempt of an admitted request is not limited
 	again.Cancel()
 	is.Equal(r.Code, "queue_full")
 	is.Equal(r.Run, api.NotRun)
 	is.True(r.RetryAfter > 0 && r.Status == http.StatusTooManyRequests)
 	waiting[0].Cancel()
-	waiting[0].Cancel() // has no further effect
+	waiting[0].Cancel() // a second Cancel has no effect
 	n.setValid("a", false)
 	for _, tk := range waiting[1:] {
 		expectRefused(t, tk, "no_lease")
@@ -115,7 +118,8 @@
 	is.Equal(fleet["a"].metric(`nutmeg_pool_refused_total{pool="p",code="queue_full"}`), "1")
 }
 
-// Guards against a planned stop that leaves requests behind or takes new ones.
+// Guards against a planned stop that ends before all requests have ended, or that accepts
+// new ones.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
 	n, fleet := startFleet(t, oneTarget(t, 1, 1), "a", "b")
@@ -150,8 +154,8 @@
 	is.NoErr(fleet["b"].client.Drain(short)) // nothing waits or runs
 }
 
-// Guards against requests that are stuck or lose their slot when ownership
-// moves, by a takeover and by a planned handover.
+// Guards against requests that are never granted, or whose slot is freed too early, when the
+// owner changes by a takeover or by a planned handover.
 func TestOwnerMoves(t *testing.T) {
 	is := is.New(t)
 	n, fleet := startFleet(t, oneTarget(t, 2, 2), "a", "b", "c")
@@ -160,7 +164,7 @@
 	running, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	await(t, running)
-	n.setOwner("", 1) // nobody grants
+	n.setOwner("", 1) // no instance owns the pool
 	waiting, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	third, err := fleet["c"].client.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
@@ -179,7 +183,8 @@
 	eventually(t, "one slot is still in use", func() bool { return fleet["b"].metric(`nutmeg_sched_used{pool="p"}`) == "2" })
 }
 
-// Guards against load reports and the platform's list being read wrongly.
+// Guards against load reports and the platform's list being read wrongly: they must change
+// the limits of the targets.
 func TestPolls(t *testing.T) {
 	is := is.New(t)
 	var leaving atomic.Bool
@@ -216,7 +221,7 @@
 	}
 }
 
-// BenchmarkFleet measures requests through seven instances and one scheduler in
+// BenchmarkFleet measures the scheduling of requests by seven instances and one scheduler in
 // one process, without targets: queue, demand, grant, confirm, done.
 func BenchmarkFleet(b *testing.B) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
@@ -239,8 +244,8 @@
 	})
 }
 
-// BenchmarkIdleGrant measures the time from a request to its grant when nothing
-// waits, between two instances in one process.
+// BenchmarkIdleGrant measures the time from a request to its grant with an empty queue,
+// between two instances in one process.
 func BenchmarkIdleGrant(b *testing.B) {
 	n, fleet := startFleet(b, oneTarget(b, 10, 10), "a", "b")
 	n.setOwner("b", 1)
--- a/plugin/pool/fleet_test.go
+++ b/plugin/pool/fleet_test.go
@@ -25,19 +25,20 @@
 	"nutmegrouter/plugin/scheduler"
 )
 
-// network is an in-process stand-in for the mesh and the lease of all instances.
+// network is an in-process fake of the mesh and the lease of all instances.
 type network struct {
-	mu       sync.Mutex
-	names    []string
-	handlers map[string]map[string]api.Handler
-	owner    string
-	epoch    uint64
-	valid    map[string]bool
-	changed  []func()
-	bytes    map[string]int
-	cut      map[string]bool
-}
-
+	mu           sync.Mutex
+	names        []string
+	handlers     map[string]map[string]api.Handler
+	owner        string
+	epoch        uint64
+	valid        map[string]bool
+	onChange     []func()
+	sentBytes    map[string]int
+	disconnected map[string]bool
+}
+
+// node is one instance's view of the network. It implements api.Mesh and api.Lease.
 type node struct {
 	*network
 	name string
@@ -46,7 +47,7 @@
 func (n *network) setOwner(name string, epoch uint64) {
 	n.mu.Lock()
 	n.owner, n.epoch = name, epoch
-	fs := n.changed
+	fs := n.onChange
 	n.mu.Unlock()
 	for _, f := range fs {
 		f()
@@ -88,10 +89,10 @@
 	}
 	n.mu.Lock()
 	h := n.handlers[to][method]
-	n.bytes[n.name] += len(raw) + len(`{"jsonrpc":"2.0","method":"","params":}`) + len(method)
-	cut := n.cut[to] || n.cut[n.name]
+	n.sentBytes[n.name] += len(raw) + len(`{"jsonrpc":"2.0","method":"","params":}`) + len(method)
+	disconnected := n.disconnected[to] || n.disconnected[n.name]
 	n.mu.Unlock()
-	if h == nil || cut {
+	if h == nil || disconnected {
 		return fmt.Errorf("no path from %s to %s", n.name, to)
 	}
 	_, err = h(context.Background(), n.name, raw)
@@ -126,12 +127,13 @@
 func (n node) OnChange(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.changed = append(n.changed, f)
+	n.onChange = append(n.onChange, f)
 }
 
 // platformList is the URL of the platform's list for the fleets of one test.
 var platformList string
 
+// instance holds the plug-ins of one instance under test.
 type instance struct {
 	client *pool.Client
 	sched  *scheduler.Scheduler
@@ -139,10 +141,10 @@
 	k      *kernel.Context
 }
 
-// startFleet runs the scheduler and pool plug-ins of several instances.
+// startFleet runs the scheduler and pool plug-ins of several instances until the test ends.
 func startFleet(t testing.TB, cfg *fleetconfig.Config, names ...string) (*network, map[string]*instance) {
 	n := &network{names: names, handlers: map[string]map[string]api.Handler{}, valid: map[string]bool{},
-		bytes: map[string]int{}, cut: map[string]bool{}}
+		sentBytes: map[string]int{}, disconnected: map[string]bool{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := kernel.NewDuties(ctx)
 	t.Cleanup(func() { cancel(); _ = d.Wait() })
@@ -183,7 +185,7 @@
 	return x
 }
 
-// oneTarget is a pool with one target that gives no load reports.
+// oneTarget returns a configuration of one pool with one target without load reports.
 func oneTarget(t testing.TB, cold, warm int) *fleetconfig.Config {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
@@ -195,6 +197,7 @@
 	}
 }
 
+// await returns the grant of a ticket, and fails the test if there is none within 10 s.
 func await(t testing.TB, tk api.Ticket) api.Grant {
 	t.Helper()
 	select {
@@ -209,8 +212,8 @@
 	return api.Grant{}
 }
 
-// Guards against a broken path between a router and the owner, remote or local,
-// and against a slot that is not freed by Done.
+// Guards against messages that do not arrive between an instance and the owner, remote or
+// local, and against a slot that is not freed by Done.
 func TestGrantAndDone(t *testing.T) {
 	is := is.New(t)
 	cfg := oneTarget(t, 1, 1)
@@ -219,7 +222,7 @@
 	for i, from := range []string{"a", "b", "c", "a"} {
 		tk, err := fleet[from].client.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"})
 		is.NoErr(err)
-		g := await(t, tk) // needs the slot that the request before has freed
+		g := await(t, tk) // needs the slot that the previous request has freed
 		is.Equal(g.Target, "t1")
 		is.Equal(g.Address, cfg.Targets[0].Address)
 		is.Equal(g.Epoch, uint64(1))
--- a/plugin/pool/messages.go
+++ b/plugin/pool/messages.go
@@ -11,7 +11,7 @@
 	"nutmegrouter/internal/schedule"
 )
 
-// Grant implements schedule.Client.
+// Grant implements schedule.Client: it passes the valid grants of a message to their tickets.
 func (c *Client) Grant(from string, m *schedule.GrantMsg) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -22,16 +22,17 @@
 	}
 	for _, g := range r.OnGrant(from, m, c.now(), c) {
 		t := g.Item.Data.(*ticket)
-		c.leave(t)
-		c.count(g.Item.Demand.Pool).granted.Inc()
+		c.leaveQueue(t)
+		c.metricsOf(g.Item.Demand.Pool).granted.Inc()
 		t.granted <- g.Grant
 	}
-	c.kick()
+	c.signalFlush()
 }
 
-// routerOf returns the router that a message is for, or nil.
+// routerOf returns the queue that a message is for: by incarnation, else by pool. It returns
+// nil if the pool is not configured.
 func (c *Client) routerOf(m *schedule.GrantMsg) *schedule.Router {
-	if r := c.byInc[m.Inc]; r != nil {
+	if r := c.byIncarnation[m.Inc]; r != nil {
 		return r
 	}
 	if !c.view.pools[m.Pool] {
@@ -40,7 +41,7 @@
 	return c.router(m.Pool)
 }
 
-// Service implements schedule.Client.
+// Service implements schedule.Client: it stores a copy of the virtual service table.
 func (c *Client) Service(_ string, m *schedule.ServiceMsg) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,22 +55,23 @@
 // LeaseValid implements schedule.Env.
 func (c *Client) LeaseValid() bool { return c.lease.Valid() }
 
-// Address implements schedule.Env.
+// Address implements schedule.Env. It reports false for a target that is not in the pool or
+// whose data centre is out of service.
 func (c *Client) Address(pool, target string) (string, bool) {
 	t, ok := c.view.targets[target]
 	return t.address, ok && t.pool == pool && !t.out
 }
 
-// send passes messages to the owners: at once after a pause, in batches when
-// there is much to send.
-func (c *Client) send(ctx context.Context) error {
+// runSender sends messages to the owners: at once after an idle period, otherwise in batches
+// every minFlushInterval.
+func (c *Client) runSender(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-c.flush:
+		case <-c.flushSignal:
 		case <-timer.C:
 		}
 		if wait := c.sendDue(); wait > 0 {
@@ -78,24 +80,25 @@
 	}
 }
 
-// sendDue sends what is due, or returns how long the batch still has to wait.
+// sendDue sends the messages that are due, or returns the time until the next batch.
 func (c *Client) sendDue() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if wait := flushEvery - (now - c.flushed); wait > 0 && c.pending(now) {
+	if wait := minFlushInterval - (now - c.flushedAt); wait > 0 && c.anyPending(now) {
 		return wait
 	}
 	for pool, r := range c.routers {
 		if r.Pending(now) {
-			c.flushed = now
+			c.flushedAt = now
 			c.sendRouter(pool, r, now)
 		}
 	}
 	return 0
 }
 
-func (c *Client) pending(now time.Duration) bool {
+// anyPending reports whether a message of any pool is due.
+func (c *Client) anyPending(now time.Duration) bool {
 	for _, r := range c.routers {
 		if r.Pending(now) {
 			return true
@@ -104,11 +107,12 @@
 	return false
 }
 
+// sendRouter sends the message of one pool that is due to the owner of the pool.
 func (c *Client) sendRouter(pool string, r *schedule.Router, now time.Duration) {
 	demand, report := r.Flush(now)
 	owner, _ := r.Owner()
 	if owner == c.mesh.Self() {
-		if !c.deliver(demand, report) {
+		if !c.deliverLocal(demand, report) {
 			r.Lost()
 		}
 		return
@@ -119,7 +123,7 @@
 	if report != nil {
 		method = schedule.MethodReport
 		raw, err = report.MarshalJSON()
-		c.count(pool).reports.Inc()
+		c.metricsOf(pool).reports.Inc()
 	} else {
 		method = schedule.MethodDemand
 		raw, err = demand.MarshalJSON()
@@ -128,26 +132,27 @@
 		err = c.mesh.Notify(owner, method, json.RawMessage(raw))
 	}
 	if err != nil {
-		c.count(pool).lost.Inc()
+		c.metricsOf(pool).lost.Inc()
 		r.Lost()
 	}
 }
 
-// deliver copies a message for the local owner, which reads it later.
-func (c *Client) deliver(demand *schedule.DemandMsg, report *schedule.ReportMsg) bool {
+// deliverLocal passes a copy of a message to the local owner, which reads it later. It reports
+// false if the owner's ring is full.
+func (c *Client) deliverLocal(demand *schedule.DemandMsg, report *schedule.ReportMsg) bool {
 	if report != nil {
 		m := *report
 		m.Waiting, m.Running, m.Done = slices.Clone(m.Waiting), slices.Clone(m.Running), slices.Clone(m.Done)
 		m.Since = slices.Clone(m.Since)
-		return c.owner.Report(&m)
+		return c.localOwner.Report(&m)
 	}
 	m := *demand
 	m.Added, m.Cancelled = slices.Clone(m.Added), slices.Clone(m.Cancelled)
 	m.Confirmed, m.Done = slices.Clone(m.Confirmed), slices.Clone(m.Done)
-	return c.owner.Demand(&m)
+	return c.localOwner.Demand(&m)
 }
 
-// view is the part of the configuration that the queue needs.
+// view is the part of the configuration that this plug-in uses.
 type view struct {
 	revision uint64
 	source   *api.View
@@ -156,12 +161,13 @@
 	limits   map[string]map[string]int // queue limit by pool and workspace
 }
 
+// target is a configured target; out is set if its data centre is out of service.
 type target struct {
 	pool, address string
 	out           bool
 }
 
-// refreshView reads a newer view of the configuration.
+// refreshView applies the current view of the configuration if it has changed.
 func (c *Client) refreshView() {
 	v := c.fleet.View()
 	if v.Config == nil || c.view.source == v {
@@ -182,8 +188,8 @@
 	c.view = n
 }
 
-// limit returns the queue limit of a workspace, and whether the pool exists.
-func (v *view) limit(pool, workspace string) (int, bool) {
+// queueLimit returns the queue limit of a workspace in requests, and whether the pool exists.
+func (v *view) queueLimit(pool, workspace string) (int, bool) {
 	limits, ok := v.limits[pool]
 	if !ok {
 		return 0, false
@@ -191,5 +197,5 @@
 	if n, ok := limits[workspace]; ok {
 		return n, true
 	}
-	return limits[""], true // a workspace that this view does not know yet
+	return limits[""], true // the workspace is not in this view yet
 }
--- a/plugin/pool/metrics.go
+++ b/plugin/pool/metrics.go
@@ -8,33 +8,34 @@
 	"nutmegrouter/internal/api"
 )
 
-// counters count what happens to the requests of one pool on this router.
-type counters struct {
+// poolMetrics counts requests and messages of one pool on this instance.
+type poolMetrics struct {
 	set                    *metrics.Set
 	pool                   string
 	granted, lost, reports *metrics.Counter
 }
 
-func (c *Client) count(pool string) *counters {
-	n := c.counts[pool]
+// metricsOf returns the metrics of a pool and creates them on first use.
+func (c *Client) metricsOf(pool string) *poolMetrics {
+	n := c.metrics[pool]
 	if n == nil {
-		n = &counters{set: c.kernel.Metrics, pool: pool}
+		n = &poolMetrics{set: c.kernel.Metrics, pool: pool}
 		n.granted = n.counter("nutmeg_pool_granted_total", "")
 		n.lost = n.counter("nutmeg_pool_messages_lost_total", "")
 		n.reports = n.counter("nutmeg_pool_reports_total", "")
-		c.counts[pool] = n
+		c.metrics[pool] = n
 	}
 	return n
 }
 
-func (n *counters) counter(name, label string) *metrics.Counter {
+func (n *poolMetrics) counter(name, label string) *metrics.Counter {
 	return n.set.GetOrCreateCounter(fmt.Sprintf("%s{pool=%q%s}", name, n.pool, label))
 }
 
-func (n *counters) refused(code string) {
+func (n *poolMetrics) countRefused(code string) {
 	n.counter("nutmeg_pool_refused_total", fmt.Sprintf(",code=%q", code)).Inc()
 }
 
-func (n *counters) ended(r api.Result) {
+func (n *poolMetrics) countEnded(r api.Result) {
 	n.counter("nutmeg_pool_ended_total", fmt.Sprintf(",result=%q", r)).Inc()
 }
--- a/plugin/pool/queue.go
+++ b/plugin/pool/queue.go
@@ -13,25 +13,26 @@
 
 const step = "queue"
 
-// refusal returns a refusal of a request that has not reached any target.
+// refusal returns a refusal of a request that was not sent to any target.
 func refusal(code, text string, status int, retry time.Duration) *api.Refusal {
 	return &api.Refusal{Code: code, Message: text, Status: status, Run: api.NotRun, RetryAfter: retry, Step: step}
 }
 
-// Enqueue implements api.Pool.
+// Enqueue implements api.Pool. The error is an *api.Refusal: the pool is unknown, a queue is
+// full, the instance has no lease or it is stopping.
 func (c *Client) Enqueue(d api.Demand) (api.Ticket, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refreshView()
 	now := c.now()
-	limit, known := c.view.limit(d.Pool, d.Workspace)
+	limit, known := c.view.queueLimit(d.Pool, d.Workspace)
 	if !known {
 		return nil, c.refuse("", unknownPool())
 	}
 	if d.Admitted {
 		limit = math.MaxInt
 	}
-	if r := c.refusesAll(d.Admitted, now); r != nil {
+	if r := c.admissionRefusal(d.Admitted, now); r != nil {
 		return nil, c.refuse(d.Pool, r)
 	}
 	it, retry := c.router(d.Pool).Enqueue(d, limit, now)
@@ -39,18 +40,19 @@
 		return nil, c.refuse(d.Pool, refusal("queue_full", "too many requests of the workspace wait", http.StatusTooManyRequests, retry))
 	}
 	if c.queued == 0 {
-		kernel.Signal(c.wake)
+		kernel.Signal(c.tickSignal)
 	}
 	c.queued++
 	t := &ticket{client: c, item: it, granted: make(chan api.Grant, 1)}
 	it.Data = t
-	c.kick()
+	c.signalFlush()
 	return t, nil
 }
 
-// refusesAll returns why no request is accepted now, or nil. Without a lease not
-// even an admitted request can start.
-func (c *Client) refusesAll(admitted bool, now time.Duration) *api.Refusal {
+// admissionRefusal returns the refusal of all new requests of this instance, or nil if they
+// are accepted. Without a lease, admitted requests are refused too, because they cannot
+// start.
+func (c *Client) admissionRefusal(admitted bool, now time.Duration) *api.Refusal {
 	switch {
 	case c.draining && !admitted:
 		return refusal("stopping", "the instance is stopping", http.StatusServiceUnavailable, time.Second)
@@ -70,45 +72,48 @@
 	return refusal("no_lease", "the instance is cut off from the majority", http.StatusServiceUnavailable, time.Second)
 }
 
-// leaseLost reports whether the lease has been invalid for longer than the grace.
+// leaseLost reports whether the lease has been invalid for leaseGracePeriod.
 func (c *Client) leaseLost(now time.Duration) bool {
 	if c.lease.Valid() {
-		c.invalid = 0
+		c.leaseInvalidSince = 0
 		return false
 	}
-	if c.invalid == 0 {
-		c.invalid = now
+	if c.leaseInvalidSince == 0 {
+		c.leaseInvalidSince = now
 	}
-	return now-c.invalid >= leaseGrace
+	return now-c.leaseInvalidSince >= leaseGracePeriod
 }
 
+// refuse counts a refusal and returns it.
 func (c *Client) refuse(pool string, r *api.Refusal) *api.Refusal {
-	c.count(pool).refused(r.Code)
+	c.metricsOf(pool).countRefused(r.Code)
 	return r
 }
 
+// router returns the queue of a pool and creates it on first use.
 func (c *Client) router(pool string) *schedule.Router {
 	r := c.routers[pool]
 	if r == nil {
 		r = schedule.NewRouter(pool, c.newIncarnation())
-		c.byInc[r.Incarnation()] = r
+		c.byIncarnation[r.Incarnation()] = r
 		c.routers[pool] = r
 		c.syncOwner(pool, r)
 	}
 	return r
 }
 
-// newIncarnation returns an unused number. 20 bits tell the processes of one
-// instance apart and stay short on the wire.
+// newIncarnation returns an unused random incarnation. 20 bits distinguish the processes of
+// one instance and stay short on the wire.
 func (c *Client) newIncarnation() uint64 {
 	for {
 		n := uint64(rand.IntN(1<<20)) + 1
-		if c.byInc[n] == nil {
+		if c.byIncarnation[n] == nil {
 			return n
 		}
 	}
 }
 
+// syncOwner sets the owner of a pool as the lease reports it.
 func (c *Client) syncOwner(pool string, r *schedule.Router) {
 	if owner, epoch, ok := c.lease.Owner(pool); ok {
 		_, was := r.Owner()
@@ -119,7 +124,8 @@
 	}
 }
 
-// tick handles deadlines, the lease and changes of ownership.
+// tick applies changes of ownership and refuses queued requests that have missed their
+// deadline, that have no valid lease or whose pool was removed.
 func (c *Client) tick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +136,7 @@
 	for pool, r := range c.routers {
 		c.syncOwner(pool, r)
 		for _, it := range r.Tick(now) {
-			c.end(pool, it, refusal("deadline", "the deadline passed in the queue", http.StatusGatewayTimeout, time.Second))
+			c.refuseQueued(pool, it, refusal("deadline", "the deadline passed in the queue", http.StatusGatewayTimeout, time.Second))
 		}
 		switch {
 		case r.Queued() == 0:
@@ -140,36 +146,37 @@
 			c.refuseWaiting(pool, r, unknownPool, now)
 		}
 	}
-	c.kick()
+	c.signalFlush()
 }
 
-// addRouters makes a router for each pool, because a new owner waits for the
-// report of every instance, also of those that never had a request.
+// addRouters creates the queue of each pool, because a new owner waits for the report of
+// every instance, also of those that never had a request.
 func (c *Client) addRouters() {
 	for pool := range c.view.pools {
 		c.router(pool)
 	}
 }
 
-func (c *Client) refuseWaiting(pool string, r *schedule.Router, why func() *api.Refusal, now time.Duration) {
+// refuseWaiting refuses all queued requests of a pool.
+func (c *Client) refuseWaiting(pool string, r *schedule.Router, reason func() *api.Refusal, now time.Duration) {
 	for _, it := range r.RefuseAll(now) {
-		c.end(pool, it, why())
+		c.refuseQueued(pool, it, reason())
 	}
-	c.kernel.Events.Record(kernel.Event{Kind: "pool", Step: "refuse waiting", Pool: pool, Detail: why().Code})
+	c.kernel.Events.Record(kernel.Event{Kind: "pool", Step: "refuse waiting", Pool: pool, Detail: reason().Code})
 }
 
-// end refuses a request that has left the queue.
-func (c *Client) end(pool string, it *schedule.Item, r *api.Refusal) {
+// refuseQueued refuses a request that was removed from the queue.
+func (c *Client) refuseQueued(pool string, it *schedule.Item, r *api.Refusal) {
 	t := it.Data.(*ticket)
 	t.refusal.Store(c.refuse(pool, r))
-	c.leave(t)
+	c.leaveQueue(t)
 	close(t.granted)
 }
 
-// leave counts a request out of the queue once.
-func (c *Client) leave(t *ticket) {
-	if !t.left {
-		t.left = true
+// leaveQueue subtracts a request from the number of queued requests once.
+func (c *Client) leaveQueue(t *ticket) {
+	if !t.leftQueue {
+		t.leftQueue = true
 		c.queued--
 	}
 }
--- a/plugin/pool/setup.go
+++ b/plugin/pool/setup.go
@@ -1,5 +1,5 @@
-// Package pool queues the requests of this router until the scheduler of their
-// pool grants them. It provides api.Pool.
+// Package pool queues the requests of this instance until the scheduler of their pool
+// grants them. It provides api.Pool.
 package pool
 
 import (
@@ -16,13 +16,13 @@
 )
 
 const (
-	tickEvery = 20 * time.Millisecond
-	idleEvery = 200 * time.Millisecond
-	// flushEvery is the shortest time between two batches of messages. The
-	// first message after a pause of this length goes out at once.
-	flushEvery = time.Millisecond
-	// leaseGrace is how long requests wait for a lease to come back.
-	leaseGrace = 500 * time.Millisecond
+	tickInterval     = 20 * time.Millisecond
+	idleTickInterval = 200 * time.Millisecond
+	// minFlushInterval is the shortest time between two batches of messages. The first
+	// message after an idle period of this length is sent at once.
+	minFlushInterval = time.Millisecond
+	// leaseGracePeriod is how long requests stay queued without a valid lease.
+	leaseGracePeriod = 500 * time.Millisecond
 )
 
 func init() {
@@ -33,27 +33,27 @@
 	})
 }
 
-// Client implements api.Pool. The lock guards all routers; no call is made under
-// it that waits.
+// Client is the plug-in that implements api.Pool. Its lock guards the queues of all pools;
+// no blocking call is made under it. It must be provisioned before use.
 type Client struct {
-	kernel *kernel.Context
-	mesh   api.Mesh
-	lease  api.Lease
-	fleet  api.Fleet
-	owner  schedule.Local
-	bad    func()
-	flush  chan struct{} // something may be due
-	wake   chan struct{} // the clock must tick at once
-
-	mu       sync.Mutex
-	routers  map[string]*schedule.Router
-	byInc    map[uint64]*schedule.Router
-	view     view
-	queued   int
-	draining bool
-	invalid  time.Duration // since when the lease is invalid; 0 = it is valid
-	flushed  time.Duration
-	counts   map[string]*counters
+	kernel          *kernel.Context
+	mesh            api.Mesh
+	lease           api.Lease
+	fleet           api.Fleet
+	localOwner      schedule.Local
+	countBadMessage func()
+	flushSignal     chan struct{} // messages may be due
+	tickSignal      chan struct{} // a tick is due at once
+
+	mu                sync.Mutex
+	routers           map[string]*schedule.Router
+	byIncarnation     map[uint64]*schedule.Router
+	view              view
+	queued            int
+	draining          bool
+	leaseInvalidSince time.Duration // start of the time without a valid lease; 0 = the lease is valid
+	flushedAt         time.Duration
+	metrics           map[string]*poolMetrics
 }
 
 // Provision implements kernel.Plugin.
@@ -67,61 +67,61 @@
 	if c.fleet, err = kernel.Lookup[api.Fleet](k); err != nil {
 		return err
 	}
-	if c.owner, err = kernel.Lookup[schedule.Local](k); err != nil {
+	if c.localOwner, err = kernel.Lookup[schedule.Local](k); err != nil {
 		return err
 	}
 	c.kernel = k
-	c.flush, c.wake = make(chan struct{}, 1), make(chan struct{}, 1)
-	c.routers, c.counts = map[string]*schedule.Router{}, map[string]*counters{}
-	c.byInc = map[uint64]*schedule.Router{}
-	bad := k.Metrics.GetOrCreateCounter(`nutmeg_sched_bad_messages_total{at="router"}`)
-	c.bad = bad.Inc
+	c.flushSignal, c.tickSignal = make(chan struct{}, 1), make(chan struct{}, 1)
+	c.routers, c.metrics = map[string]*schedule.Router{}, map[string]*poolMetrics{}
+	c.byIncarnation = map[uint64]*schedule.Router{}
+	badMessages := k.Metrics.GetOrCreateCounter(`nutmeg_sched_bad_messages_total{at="router"}`)
+	c.countBadMessage = badMessages.Inc
 	k.Metrics.NewGauge("nutmeg_pool_waiting", func() float64 { return float64(c.waiting()) })
 	c.mesh.Handle(schedule.MethodGrant, c.onGrant)
 	c.mesh.Handle(schedule.MethodService, c.onService)
-	c.lease.OnChange(func() { c.kick(); kernel.Signal(c.wake) })
-	c.owner.Attach(c)
+	c.lease.OnChange(func() { c.signalFlush(); kernel.Signal(c.tickSignal) })
+	c.localOwner.Attach(c)
 	return kernel.Provide[api.Pool](k, c)
 }
 
 // Start implements kernel.Starter.
 func (c *Client) Start(d *kernel.Duties) error {
-	d.Go("pool messages", c.send)
-	d.Go("pool clock", c.clock)
+	d.Go("pool messages", c.runSender)
+	d.Go("pool clock", c.runTicker)
 	return nil
 }
 
-// clock ticks often while requests wait or run and seldom at rest, because idle
-// wakeups made up most of the processor time of an idle instance.
-func (c *Client) clock(ctx context.Context) error {
-	t := time.NewTimer(idleEvery)
+// runTicker calls tick every tickInterval while requests wait or run, else every
+// idleTickInterval: frequent wakeups made up most of the processor time of an idle instance.
+func (c *Client) runTicker(ctx context.Context) error {
+	t := time.NewTimer(idleTickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-c.wake:
+		case <-c.tickSignal:
 		case <-t.C:
 		}
 		c.tick()
-		if waiting, running := c.load(); waiting+running > 0 {
-			t.Reset(tickEvery)
+		if waiting, running := c.requestCounts(); waiting+running > 0 {
+			t.Reset(tickInterval)
 		} else {
-			t.Reset(idleEvery)
+			t.Reset(idleTickInterval)
 		}
 	}
 }
 
-// Drain implements api.Pool and kernel.Drainer: it refuses new requests and
-// waits until no request waits or runs.
+// Drain implements api.Pool and kernel.Drainer: it refuses new requests and blocks until
+// no request waits or runs. The error is that of the context.
 func (c *Client) Drain(ctx context.Context) error {
 	c.mu.Lock()
 	c.draining = true
 	c.mu.Unlock()
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
-		if waiting, running := c.load(); waiting+running == 0 {
+		if waiting, running := c.requestCounts(); waiting+running == 0 {
 			return nil
 		}
 		select {
@@ -132,7 +132,8 @@
 	}
 }
 
-func (c *Client) load() (waiting, running int) {
+// requestCounts returns the numbers of waiting and running requests of all pools.
+func (c *Client) requestCounts() (waiting, running int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.routers {
@@ -143,14 +144,14 @@
 }
 
 func (c *Client) waiting() int {
-	waiting, _ := c.load()
+	waiting, _ := c.requestCounts()
 	return waiting
 }
 
 func (c *Client) onGrant(_ context.Context, from string, params json.RawMessage) (any, error) {
 	m := &schedule.GrantMsg{}
 	if err := m.UnmarshalJSON(params); err != nil {
-		c.bad()
+		c.countBadMessage()
 		return nil, errors.WithMessagef(err, "grant from %s", from)
 	}
 	c.Grant(from, m)
@@ -160,12 +161,12 @@
 func (c *Client) onService(_ context.Context, from string, params json.RawMessage) (any, error) {
 	m := &schedule.ServiceMsg{}
 	if err := m.UnmarshalJSON(params); err != nil {
-		c.bad()
+		c.countBadMessage()
 		return nil, errors.WithMessagef(err, "service table from %s", from)
 	}
 	c.Service(from, m)
 	return nil, nil
 }
 
-// kick makes the sender look for messages that are due. It never blocks.
-func (c *Client) kick() { kernel.Signal(c.flush) }
+// signalFlush makes runSender send the messages that are due. It never blocks.
+func (c *Client) signalFlush() { kernel.Signal(c.flushSignal) }
--- a/plugin/pool/ticket.go
+++ b/plugin/pool/ticket.go
@@ -7,13 +7,13 @@
 	"nutmegrouter/internal/schedule"
 )
 
-// ticket implements api.Ticket.
+// ticket is a queued or running request. It implements api.Ticket.
 type ticket struct {
-	client  *Client
-	item    *schedule.Item
-	granted chan api.Grant
-	refusal atomic.Pointer[api.Refusal]
-	left    bool // counted out of the queue; guarded by the client's lock
+	client    *Client
+	item      *schedule.Item
+	granted   chan api.Grant
+	refusal   atomic.Pointer[api.Refusal]
+	leftQueue bool // no longer counted as queued; guarded by the client's lock
 }
 
 // Granted implements api.Ticket.
@@ -28,7 +28,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.routers[t.item.Demand.Pool].Confirm(t.item, w, boot, c.now())
-	c.kick()
+	c.signalFlush()
 }
 
 // Done implements api.Ticket.
@@ -37,10 +37,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t.item.Started() {
-		c.count(t.item.Demand.Pool).ended(o.Result)
+		c.metricsOf(t.item.Demand.Pool).countEnded(o.Result)
 	}
 	c.routers[t.item.Demand.Pool].Done(t.item, o, c.now())
-	c.kick()
+	c.signalFlush()
 }
 
 // Cancel implements api.Ticket.
@@ -49,6 +49,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.routers[t.item.Demand.Pool].Cancel(t.item, c.now())
-	c.leave(t)
-	c.kick()
+	c.leaveQueue(t)
+	c.signalFlush()
 }
