--- a/plugin/dispatch/call.go
+++ b/plugin/dispatch/call.go
@@ -10,49 +10,53 @@
 	"nutmegrouter/internal/api"
 )
 
-// Bounds of retries.
+// Limits of attempts and retries.
 const (
-	maxUnsent    = 10                    // attempts that sent nothing
-	maxSends     = 4                     // attempts that sent at least a byte
-	firstBackoff = 10 * time.Millisecond // doubled for each further attempt
-	maxBackoff   = time.Second
-	retryAdvice  = time.Second // advice to callers after a target failed
+	maxUnsentAttempts = 10                    // per call, while no byte of its request has been sent
+	maxSends          = 4                     // per call, of at least one byte
+	firstBackoff      = 10 * time.Millisecond // doubled for each further retry
+	maxBackoff        = time.Second
+	retryAfter        = time.Second // Retry-After of refusals caused by a target
 )
 
-// call is one request of a caller across its attempts.
+// call is a caller's request with the state that its attempts share.
 type call struct {
 	d      *Dispatcher
 	req    *api.Request
 	id     string
-	ctx    context.Context // ends when the caller goes away or the process ends
+	ctx    context.Context // cancelled when the caller disconnects or the process stops
 	cancel context.CancelFunc
 	pool   fleetconfig.Pool
 	stats  *poolStats
 
-	begin   time.Duration // on the kernel clock
-	touched bool          // a byte of the request may have reached a target
-	sends   int           // attempts that sent at least one byte
-	claimed bool          // the claim of this call is in the log
-	avoid   string        // target of the last failed attempt
+	startedAt   time.Duration // kernel clock
+	mayHaveRun  bool          // a byte of the request may have reached a target
+	sends       int           // sends of at least one byte
+	claimed     bool          // the claim of this call is in the log
+	avoidTarget string        // target of the last failed attempt, "" = none
 }
 
-// Do implements api.Dispatcher.
+// Do implements api.Dispatcher. It runs the request, with retries, and returns
+// the response once its header is known; the caller must close it. An error
+// is an *api.Refusal that says whether the request may have run, unless api.Pool
+// returned another error. Cancelling ctx or closing r.Gone cancels the request.
 func (d *Dispatcher) Do(ctx context.Context, r *api.Request) (api.Answer, error) {
 	c, err := d.newCall(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	ans, err := c.run()
+	resp, err := c.run()
 	if err != nil {
-		c.releaseUnlessRun()
+		c.releaseClaimIfNotRun()
 		c.cancel()
 		return nil, err
 	}
-	return ans, nil
+	return resp, nil
 }
 
+// newCall returns the call for a request, or a refusal if its pool is unknown.
 func (d *Dispatcher) newCall(ctx context.Context, r *api.Request) (*call, error) {
-	x := d.current()
+	x := d.currentIndex()
 	pool, ok := x.pools[r.Pool]
 	if !ok {
 		return nil, &api.Refusal{
@@ -60,7 +64,7 @@
 			Message: "no such pool: " + r.Pool,
 		}
 	}
-	c := &call{d: d, req: r, id: d.nextID(), pool: pool, stats: d.stats.pool(r.Pool), begin: d.clock.Now()}
+	c := &call{d: d, req: r, id: d.nextID(), pool: pool, stats: d.stats.pool(r.Pool), startedAt: d.clock.Now()}
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	if r.Gone != nil && r.Gone != ctx.Done() {
 		go func() {
@@ -74,47 +78,49 @@
 	return c, nil
 }
 
-// run makes attempts until one gives an answer or no further one is allowed.
+// run makes attempts until one returns a response or no retry is allowed.
 func (c *call) run() (api.Answer, error) {
 	for n := 0; ; n++ {
-		ans, err := c.attempt(n > 0)
+		resp, err := c.runAttempt(n > 0)
 		if err == nil {
-			return ans, nil
+			return resp, nil
 		}
 		var f *fault
 		if !errors.As(err, &f) {
 			return nil, err
 		}
 		if c.ctx.Err() != nil {
-			return nil, c.gone()
+			return nil, c.disconnectRefusal()
 		}
 		if !c.mayRetry(f, n) {
 			return nil, c.refusal(f)
 		}
 		c.stats.retries.Inc()
-		c.avoid = f.target
-		if err := c.pause(n); err != nil {
+		c.avoidTarget = f.target
+		if err := c.backOff(n); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// mayRetry applies the rule of section 9.7: again only if no byte of the
-// request can have reached the target, or if it is idempotent. No byte of an
-// answer has been sent to the caller while attempts are made.
+// mayRetry applies the rule of section 9.7 after attempt n, counted from 0: a
+// request is retried only if it is idempotent or none of its bytes can have
+// reached the target. The caller receives no byte of a response before the
+// attempts end.
 func (c *call) mayRetry(f *fault, n int) bool {
-	if f.final || c.expired() {
+	if f.noRetry || c.deadlinePassed() {
 		return false
 	}
 	if f.certainlyNotRun() {
-		return n+1 < maxUnsent
+		return n+1 < maxUnsentAttempts
 	}
 	return !c.req.NonIdempotent && c.sends < maxSends
 }
 
-// pause waits before the next attempt. The first one follows at once because
-// another target usually has room.
-func (c *call) pause(n int) error {
+// backOff waits before retry n, counted from 0. Retry 0 is not delayed, because
+// another target usually has free capacity. It returns a refusal if the caller
+// disconnects.
+func (c *call) backOff(n int) error {
 	if n == 0 {
 		return nil
 	}
@@ -125,74 +131,77 @@
 	case <-t.C:
 		return nil
 	case <-c.ctx.Done():
-		return c.gone()
+		return c.disconnectRefusal()
 	}
 }
 
-// deadline returns the end of the wait for the answer's start on the kernel
-// clock; 0 = none.
+// deadline returns the time on the kernel clock by which the response header must
+// arrive; 0 = none.
 func (c *call) deadline() time.Duration {
 	if c.req.Deadline <= 0 {
 		return 0
 	}
-	return c.begin + c.req.Deadline
+	return c.startedAt + c.req.Deadline
 }
 
-func (c *call) expired() bool {
+// deadlinePassed reports whether the deadline, if any, has passed.
+func (c *call) deadlinePassed() bool {
 	return c.req.Deadline > 0 && c.d.clock.Now() >= c.deadline()
 }
 
-// attempt queues the request, waits for a grant and runs it on the target. A
-// further attempt keeps the admission of the first one.
-func (c *call) attempt(admitted bool) (api.Answer, error) {
+// runAttempt queues the request, waits for a grant and sends the request to the
+// target. A retry sets admitted: it keeps the admission of the first attempt.
+func (c *call) runAttempt(admitted bool) (api.Answer, error) {
 	ticket, err := c.d.pool.Enqueue(api.Demand{
 		ID: c.d.attemptID(c), Pool: c.req.Pool, Workspace: c.req.Workspace, Class: c.req.Class,
-		Hint: c.req.Hint, Deadline: c.deadline(), Avoid: c.avoid, Admitted: admitted,
+		Hint: c.req.Hint, Deadline: c.deadline(), Avoid: c.avoidTarget, Admitted: admitted,
 	})
 	if err != nil {
 		var r *api.Refusal
 		if errors.As(err, &r) {
-			return nil, c.amend(r)
+			return nil, c.correctRunState(r)
 		}
 		return nil, errors.WithMessage(err, "enqueue")
 	}
-	g, err := c.await(ticket)
+	g, err := c.awaitGrant(ticket)
 	if err != nil {
 		return nil, err
 	}
-	s := &slot{call: c, ticket: ticket, grant: g}
+	a := &attempt{call: c, ticket: ticket, grant: g}
 	if c.req.NonIdempotent && c.req.Key != "" && !c.claimed {
-		if ans, err := c.claim(s); ans != nil || err != nil {
-			return ans, err
+		if resp, err := c.claim(a); resp != nil || err != nil {
+			return resp, err
 		}
 	}
-	return c.start(s)
+	return c.start(a)
 }
 
-// attemptID returns a new id for each attempt, because the scheduler may still
-// know the one before.
+// attemptID returns a new id for each retry, because the scheduler may still have
+// the previous attempt under its id.
 func (d *Dispatcher) attemptID(c *call) string {
-	if c.avoid == "" && c.sends == 0 {
+	if c.avoidTarget == "" && c.sends == 0 {
 		return c.id
 	}
 	return d.nextID()
 }
 
-func (c *call) await(t api.Ticket) (api.Grant, error) {
+// awaitGrant waits until the ticket is granted. It returns a refusal if the
+// scheduler refuses the request or the caller disconnects.
+func (c *call) awaitGrant(ticket api.Ticket) (api.Grant, error) {
 	select {
-	case g, ok := <-t.Granted():
+	case g, ok := <-ticket.Granted():
 		if ok {
 			return g, nil
 		}
-		if r := t.Refusal(); r != nil {
-			return api.Grant{}, c.amend(r)
+		if r := ticket.Refusal(); r != nil {
+			return api.Grant{}, c.correctRunState(r)
 		}
 		return api.Grant{}, &api.Refusal{
 			Code: codeNotStarted, Status: 503, Run: c.runState(), Step: "queue",
-			Message: "the request left the queue without a grant", RetryAfter: retryAdvice,
+			Message: "the request left the queue without a grant", RetryAfter: retryAfter,
 		}
 	case <-c.ctx.Done():
-		t.Cancel()
-		return api.Grant{}, c.gone()
+		ticket.Cancel()
+		return api.Grant{}, c.disconnectRefusal()
 	}
 }
--- a/plugin/dispatch/callers_test.go
+++ b/plugin/dispatch/callers_test.go
@@ -19,62 +19,62 @@
 	"nutmegrouter/internal/api"
 )
 
-// call sends a request on a connection of its own and returns the connection.
-func (r *rig) call(addr, path, body, headers string) net.Conn {
-	r.t.Helper()
+// call sends a request on a new connection and returns the connection.
+func (env *testEnv) call(addr, path, body, headers string) net.Conn {
+	env.t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(addr, "http://"))
-	must(r.t, err)
-	r.t.Cleanup(func() { c.Close() })
-	must(r.t, c.SetDeadline(time.Now().Add(waitLimit)))
+	must(env.t, err)
+	env.t.Cleanup(func() { c.Close() })
+	must(env.t, c.SetDeadline(time.Now().Add(waitLimit)))
 	_, err = fmt.Fprintf(c, "POST %s\r\nHost: x\r\nAuthorization: Bearer secret\r\n%sContent-Length: %d\r\n\r\n%s", path, headers, len(body), body)
-	must(r.t, err)
+	must(env.t, err)
 	return c
 }
 
-// Guards against a plain call or a streamed answer that does not get through
-// from the caller to the target and back.
+// Guards against a request to a plain service, or a streamed response of an engine, that
+// does not pass between caller and target.
 func TestEndToEnd(t *testing.T) {
 	is := is.New(t)
-	target := newTarget(t, "t1", func(w *wire, r *seen) {
+	target := newTarget(t, "t1", func(w *scriptConn, r *receivedRequest) {
 		if r.URL.Path == "/count" {
 			w.plain(200, "counted "+r.body, "X-Target-State: warm", "X-Target-Boot: 3")
 			return
 		}
 		w.stream("s1", "X-Target-State: warm")
 		w.events(1, 3)
-		w.done(4)
+		w.endStream(4)
 	})
-	r := newRig(t, target)
-	_, url := r.serve()
+	env := newTestEnv(t, target)
+	_, url := env.serve()
 
 	got, err := fetch("POST", url+"/v1/pools/svc/count?x=1", "abc")
 	is.NoErr(err)
 	is.Equal(got, "counted abc")
-	is.Equal(target.work()[0].URL.RawQuery, "x=1")
-	is.Equal(target.work()[0].Header.Get("Authorization"), "") // the router's key stays here
-	is.Equal(r.outcome().Boot, uint64(3))
+	is.Equal(target.workRequests()[0].URL.RawQuery, "x=1")
+	is.Equal(target.workRequests()[0].Header.Get("Authorization"), "") // the caller's key is not passed to the target
+	is.Equal(env.outcome().Boot, uint64(3))
 
 	got, err = fetch("POST", url+"/v1/chat/completions", `{"model":"m1"}`)
 	is.NoErr(err)
-	is.Equal(got, allEvents(3))
-	is.Equal(r.pool.confirmed.Load(), api.WarmthWarm)
-	is.Equal(r.outcome().Cost, 9.0) // 7 generated tokens and a tenth of 20 prompt tokens
+	is.Equal(got, wholeStreamText(3))
+	is.Equal(env.pool.confirmed.Load(), api.WarmthWarm)
+	is.Equal(env.outcome().Cost, 9.0) // 7 generated tokens and a tenth of 20 prompt tokens
 }
 
-// Guards against HEAD answers that wait for a body or lose their length, and
-// against a caller that waits in vain for leave to send its body.
+// Guards against HEAD responses that wait for a body or lose their length, and against
+// a missing "100 Continue".
 func TestHeadAndContinue(t *testing.T) {
 	is := is.New(t)
-	target := newTarget(t, "t1", numbered(func(w *wire, r *seen, _ int) {
+	target := newTarget(t, "t1", runScript(func(w *scriptConn, r *receivedRequest, _ int) {
 		if r.Method == "HEAD" {
-			w.raw("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" + headerID + ": " + r.Header.Get(headerID) + "\r\n\r\n")
+			w.raw("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n" + headerRequestID + ": " + r.Header.Get(headerRequestID) + "\r\n\r\n")
 			return
 		}
-		w.plain(200, r.body, headerID+": "+r.Header.Get(headerID))
+		w.plain(200, r.body, headerRequestID+": "+r.Header.Get(headerRequestID))
 	}))
-	r := newRig(t, target)
-	_, url := r.serve()
-	c := r.call(url, "/v1/pools/svc/x HTTP/1.1", "hello", "Expect: 100-continue\r\n")
+	env := newTestEnv(t, target)
+	_, url := env.serve()
+	c := env.call(url, "/v1/pools/svc/x HTTP/1.1", "hello", "Expect: 100-continue\r\n")
 	_, err := io.WriteString(c, "HEAD /v1/pools/svc/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\n\r\n")
 	is.NoErr(err)
 	br := bufio.NewReader(c)
@@ -86,48 +86,48 @@
 		is.NoErr(err)
 		b, err := io.ReadAll(resp.Body)
 		is.NoErr(err)
-		is.Equal(string(b), want.body) // answer i
+		is.Equal(string(b), want.body) // of response i
 		is.Equal(resp.StatusCode, want.status)
 		is.True(i == 0 || resp.ContentLength == int64(want.length))
 	}
-	is.Equal(opened(target), 1) // kept after an answer without a body to read
+	is.Equal(openedConns(target), 1) // reused after a response without a body
 }
 
-// Guards against a queue place that stays taken after its caller left.
-func TestCallerGoneWhileQueued(t *testing.T) {
-	r := newRig(t, newTarget(t, "t1", numbered(ok)))
-	r.pool.hold = true
-	_, url := r.serve()
-	c := r.call(url, "/v1/pools/svc/x HTTP/1.1", "", "")
-	eventually(t, "queued", func() bool { n, _ := r.pool.asked(); return n == 1 })
+// Guards against a request that stays in the queue after its caller disconnected.
+func TestCallerDisconnectsWhileQueued(t *testing.T) {
+	env := newTestEnv(t, newTarget(t, "t1", runScript(respondOK)))
+	env.pool.withholdGrants = true
+	_, url := env.serve()
+	c := env.call(url, "/v1/pools/svc/x HTTP/1.1", "", "")
+	eventually(t, "queued", func() bool { n, _ := env.pool.demandCounts(); return n == 1 })
 	c.Close()
-	eventually(t, "cancelled", func() bool { _, n := r.pool.asked(); return n == 1 })
+	eventually(t, "cancelled", func() bool { _, n := env.pool.demandCounts(); return n == 1 })
 }
 
-// Guards against a slot and a target's work that go on after the caller left
-// before the head of the answer.
-func TestCallerGoneBeforeHead(t *testing.T) {
+// Guards against a slot that stays taken, and a target that continues to work, after the
+// caller disconnected before the response header.
+func TestCallerDisconnectsBeforeHeader(t *testing.T) {
 	is := is.New(t)
 	left := make(chan struct{})
-	target := newTarget(t, "t1", numbered(func(w *wire, _ *seen, _ int) { w.silent(); close(left) }))
-	r := newRig(t, target)
-	_, url := r.serve()
-	c := r.call(url, "/v1/pools/svc/x HTTP/1.1", "", "")
-	eventually(t, "sent", func() bool { return len(target.work()) == 1 })
+	target := newTarget(t, "t1", runScript(func(w *scriptConn, _ *receivedRequest, _ int) { w.waitForClose(); close(left) }))
+	env := newTestEnv(t, target)
+	_, url := env.serve()
+	c := env.call(url, "/v1/pools/svc/x HTTP/1.1", "", "")
+	eventually(t, "sent", func() bool { return len(target.workRequests()) == 1 })
 	c.Close()
-	is.Equal(r.outcome().Result, api.ResultCancelled)
+	is.Equal(env.outcome().Result, api.ResultCancelled)
 	receive(t, left) // the connection to the target was closed
-	is.Equal(len(target.work()), 1)
+	is.Equal(len(target.workRequests()), 1)
 }
 
-// Guards against an engine that goes on generating after the caller left a
-// stream, and against a slot that is freed before the engine has stopped.
-func TestCallerGoneWhileStreaming(t *testing.T) {
+// Guards against an engine that continues to generate after the caller disconnected
+// during a stream, and against a slot that is freed before the engine has stopped.
+func TestCallerDisconnectsWhileStreaming(t *testing.T) {
 	is := is.New(t)
-	target := newTarget(t, "t1", numbered(func(w *wire, _ *seen, _ int) { begun(w, 2); w.silent() }))
-	r := newRig(t, target)
-	_, url := r.serve()
-	c := r.call(url, "/v1/pools/llm/v1/completions HTTP/1.1", "{}", "")
+	target := newTarget(t, "t1", runScript(func(w *scriptConn, _ *receivedRequest, _ int) { startStream(w, 2); w.waitForClose() }))
+	env := newTestEnv(t, target)
+	_, url := env.serve()
+	c := env.call(url, "/v1/pools/llm/v1/completions HTTP/1.1", "{}", "")
 	br := bufio.NewReader(c)
 	for line := ""; line != "id: 2\n"; {
 		var err error
@@ -135,78 +135,79 @@
 		is.NoErr(err)
 	}
 	c.Close()
-	is.Equal(r.outcome().Result, api.ResultCancelled)
-	is.Equal(len(target.cancels()), 1) // before the slot was freed
-	is.Equal(target.cancels()[0].URL.Path, "/v1/streams/s1/cancel")
-	is.Equal(len(target.work()), 1) // no resume for nobody
+	is.Equal(env.outcome().Result, api.ResultCancelled)
+	is.Equal(len(target.cancelRequests()), 1) // before the slot was freed
+	is.Equal(target.cancelRequests()[0].URL.Path, "/v1/streams/s1/cancel")
+	is.Equal(len(target.workRequests()), 1) // no resume without a caller
 }
 
-// Guards against an engine that goes on with an answer that is not streamed. It
-// writes nothing before the end, so a closed connection tells it nothing.
-func TestCallerGoneWhileEngineComputes(t *testing.T) {
+// Guards against an engine that continues to compute a response that is not streamed
+// after the caller disconnected. It writes nothing before the end, so it does not notice
+// the closed connection.
+func TestCallerDisconnectsWhileEngineComputes(t *testing.T) {
 	is := is.New(t)
-	target := newTarget(t, "t1", numbered(func(w *wire, _ *seen, _ int) {
+	target := newTarget(t, "t1", runScript(func(w *scriptConn, _ *receivedRequest, _ int) {
 		w.raw("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nX-Stream-Id: s1\r\nTransfer-Encoding: chunked\r\n\r\n")
-		w.silent()
+		w.waitForClose()
 	}))
-	r := newRig(t, target)
-	_, url := r.serve()
-	c := r.call(url, "/v1/pools/llm/v1/completions HTTP/1.1", "{}", "")
-	eventually(t, "confirmed", func() bool { return r.pool.confirmed.Load() != nil })
+	env := newTestEnv(t, target)
+	_, url := env.serve()
+	c := env.call(url, "/v1/pools/llm/v1/completions HTTP/1.1", "{}", "")
+	eventually(t, "confirmed", func() bool { return env.pool.confirmed.Load() != nil })
 	c.Close()
-	is.Equal(r.outcome().Result, api.ResultCancelled)
-	is.Equal(len(target.cancels()), 1) // before the slot was freed
+	is.Equal(env.outcome().Result, api.ResultCancelled)
+	is.Equal(len(target.cancelRequests()), 1) // before the slot was freed
 }
 
-// Guards against a stream that breaks and looks whole to the caller.
+// Guards against a broken stream that looks complete to the caller.
 func TestCallerSeesBrokenStream(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, newTarget(t, "t1", numbered(dies(2, refusesResume))))
-	_, url := r.serve()
+	env := newTestEnv(t, newTarget(t, "t1", runScript(closesAfter(2, refusesResume))))
+	_, url := env.serve()
 	got, err := fetch("POST", url+"/v1/pools/llm/v1/completions", "{}")
 	is.Equal(err, io.ErrUnexpectedEOF) // no end mark
-	is.True(strings.HasPrefix(got, eventsText(2)+"event: error\ndata: {"))
+	is.True(strings.HasPrefix(got, eventsTextTo(2)+"event: error\ndata: {"))
 	is.True(!strings.Contains(got, "[DONE]"))
-	is.Equal(r.outcome().Result, api.ResultFailed)
-	is.True(r.recorded("target", "failing"))
-	is.True(r.recorded("stream", "broken"))
+	is.Equal(env.outcome().Result, api.ResultFailed)
+	is.True(env.recorded("target", "failing"))
+	is.True(env.recorded("stream", "broken"))
 }
 
-// Guards against a truncated answer of known length that looks whole.
-func TestCallerSeesTruncatedAnswer(t *testing.T) {
+// Guards against a truncated response of known length that looks complete.
+func TestCallerSeesTruncatedResponse(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, newTarget(t, "t1", numbered(func(w *wire, _ *seen, _ int) {
-		w.raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*bufferLimit))
-		w.raw(strings.Repeat("x", 2*bufferLimit))
+	env := newTestEnv(t, newTarget(t, "t1", runScript(func(w *scriptConn, _ *receivedRequest, _ int) {
+		w.raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*maxBufferedBytes))
+		w.raw(strings.Repeat("x", 2*maxBufferedBytes))
 		w.Close()
 	})))
-	_, url := r.serve()
+	_, url := env.serve()
 	_, err := fetch("GET", url+"/v1/pools/svc/x", "")
 	is.Equal(err, io.ErrUnexpectedEOF)
-	is.Equal(r.outcome().Result, api.ResultFailed)
+	is.Equal(env.outcome().Result, api.ResultFailed)
 }
 
-// Guards against a truncated stream that an HTTP/1.0 caller, who knows no
-// chunks, takes for whole.
-func TestOldCallerSeesBrokenStream(t *testing.T) {
+// Guards against a truncated stream that looks complete to an HTTP/1.0 caller, which
+// does not support chunked bodies.
+func TestHTTP10CallerSeesBrokenStream(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, newTarget(t, "t1", numbered(dies(2, refusesResume))))
-	_, url := r.serve()
-	c := r.call(url, "/v1/pools/llm/v1/completions HTTP/1.0", "{}", "")
+	env := newTestEnv(t, newTarget(t, "t1", runScript(closesAfter(2, refusesResume))))
+	_, url := env.serve()
+	c := env.call(url, "/v1/pools/llm/v1/completions HTTP/1.0", "{}", "")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 502)
 	is.Equal(resp.Header.Get("X-Run"), "unknown")
 }
 
-// Guards against a planned stop that cuts streams, refuses requests while it
-// still accepts, or waits for idle connections.
+// Guards against a planned stop that interrupts streams, refuses requests while it
+// still accepts connections, or waits for idle connections.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const streams = 8
 	release := make(chan struct{})
-	target := newTarget(t, "t1", numbered(func(w *wire, r *seen, _ int) {
+	target := newTarget(t, "t1", runScript(func(w *scriptConn, r *receivedRequest, _ int) {
 		if r.URL.Path == "/count" {
 			w.plain(200, "ok")
 			return
@@ -215,10 +216,10 @@
 		w.events(1, 2)
 		<-release
 		w.events(3, 5)
-		w.done(6)
+		w.endStream(6)
 	}))
-	r := newRig(t, target)
-	s, url := r.serve()
+	env := newTestEnv(t, target)
+	s, url := env.serve()
 	bodies := make(chan string, streams)
 	for range streams {
 		go func() {
@@ -226,8 +227,8 @@
 			bodies <- fmt.Sprint(got, err)
 		}()
 	}
-	eventually(t, "streams begun", func() bool { return len(target.work()) == streams })
-	idle := r.call(url, "/v1/pools/svc/count HTTP/1.1", "", "")
+	eventually(t, "streams started", func() bool { return len(target.workRequests()) == streams })
+	idle := env.call(url, "/v1/pools/svc/count HTTP/1.1", "", "")
 	resp, err := http.ReadResponse(bufio.NewReader(idle), nil)
 	is.NoErr(err)
 	is.True(!resp.Close)
@@ -250,21 +251,21 @@
 	is.NoErr(err) // the idle connection is closed cleanly
 	select {
 	case <-drained:
-		t.Fatal("drained with streams under way")
+		t.Fatal("drained while streams were running")
 	default:
 	}
 	close(release)
 	for range streams {
-		is.Equal(receive(t, bodies), allEvents(5)+"<nil>")
+		is.Equal(receive(t, bodies), wholeStreamText(5)+"<nil>")
 	}
 	is.NoErr(receive(t, drained))
 }
 
-// Guards against callers that get each other's bytes, over many requests that
-// share connections to targets.
+// Guards against responses that reach the wrong caller when many requests share
+// connections to targets.
 func TestConcurrentCallers(t *testing.T) {
 	is := is.New(t)
-	echo := func(w *wire, r *seen, n int) {
+	echo := func(w *scriptConn, r *receivedRequest, n int) {
 		if r.URL.Path == "/count" {
 			w.plain(200, r.body)
 			return
@@ -276,8 +277,8 @@
 		w.chunk("id: 21\ndata: [DONE]\n\n")
 		w.raw("0\r\n\r\n")
 	}
-	r := newRig(t, newTarget(t, "t1", numbered(echo)))
-	_, url := r.serve()
+	env := newTestEnv(t, newTarget(t, "t1", runScript(echo)))
+	_, url := env.serve()
 	var callers sync.WaitGroup
 	faults := make(chan string, 1000)
 	for k := range 16 {
@@ -299,7 +300,7 @@
 	for f := range faults {
 		t.Error(f)
 	}
-	is.Equal(len(r.pool.outcomes), 16*25) // each request ended its work once
+	is.Equal(len(env.pool.outcomes), 16*25) // one outcome for each request
 }
 
 func streamOf(body string) string {
@@ -310,19 +311,19 @@
 	return b.String() + "id: 21\ndata: [DONE]\n\n"
 }
 
-// BenchmarkAddedDelay measures a short call straight to a target and the same
-// call through the router when nothing waits. The difference is the added delay.
+// BenchmarkAddedDelay measures a short request sent directly to a target and the same
+// request through an idle router. The difference is the added delay.
 func BenchmarkAddedDelay(b *testing.B) {
 	target := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok") }}
 	b.Run("direct", func(b *testing.B) {
-		addr := serveLibrary(b, target)
+		addr := serveFasthttp(b, target)
 		measure(b, addr, "GET", "/count")
 	})
 	for _, method := range []string{"GET", "POST"} { // POST uses a fresh connection to the target
 		b.Run("router-"+method, func(b *testing.B) {
-			addr := serveLibrary(b, target)
-			r := newRig(b, &fakeTarget{name: "t1", addr: addr})
-			s, _ := r.serve()
+			addr := serveFasthttp(b, target)
+			env := newTestEnv(b, &fakeTarget{name: "t1", addr: addr})
+			s, _ := env.serve()
 			measure(b, s.Addr(), method, "/v1/pools/svc/count")
 		})
 	}
--- a/plugin/dispatch/events_test.go
+++ b/plugin/dispatch/events_test.go
@@ -18,7 +18,7 @@
 )
 
 func readEvents(r io.Reader) (raw []byte, all []sse.Event, err error) {
-	er := sse.NewReader(r, overload.NewBytes(answersMost))
+	er := sse.NewReader(r, overload.NewBytes(maxEventMemory))
 	for {
 		e, err := er.Next()
 		if err != nil {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against events that depend on how the bytes arrive, bytes that are
-// changed or lost, and panics on arbitrary input.
+// Guards against events that depend on how the input is split into reads, bytes that
+// are changed or lost, and panics on arbitrary input.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n: ping\n\ndata: [DONE]\r\n\r\n"))
 	f.Add([]byte("data\ndata:\ndata: x\nid: 99999999999999999999\n\n\n\r\n\nid:1"))
@@ -41,7 +41,7 @@
 			t.Fatalf("%v: events are not a prefix of the input", err)
 		}
 		if rest := in[len(raw):]; bytes.Contains(rest, []byte("\n\n")) || bytes.HasPrefix(rest, []byte("\n")) {
-			t.Fatalf("a whole event was left: %q", rest)
+			t.Fatalf("a complete event was not read: %q", rest)
 		}
 		slowRaw, slow, _ := readEvents(iotest.OneByteReader(bytes.NewReader(in)))
 		if !bytes.Equal(raw, slowRaw) || len(all) != len(slow) {
@@ -60,9 +60,9 @@
 	})
 }
 
-// Guards against headers of a target that reach the caller with line breaks,
-// as framing, or in the router's name, and against panics.
-func FuzzTargetHead(f *testing.F) {
+// Guards against target headers that reach the caller with line breaks, as framing, or
+// in place of the router's own headers, and against panics.
+func FuzzTargetHeader(f *testing.F) {
 	f.Add([]byte("X-Target-State: warm\r\nX-Target-Boot: 7\r\nX-Stream-Id: s1\r\nX-Run: not-run\r\nConnection: a, b\r\nA: 1\r\n"))
 	f.Add([]byte("Content-Length: 3\r\nContent-Type: text/event-stream; x\r\n"))
 	f.Fuzz(func(t *testing.T, head []byte) {
@@ -71,16 +71,16 @@
 		if x.resp.ReadLimitBody(bufio.NewReader(bytes.NewReader(append(raw, "\r\n\r\n"...))), 0) != nil {
 			return
 		}
-		st := x.state()
-		if st.warmth != api.WarmthUnknown && st.warmth != api.WarmthWarm && st.warmth != api.WarmthCold {
-			t.Fatal("a word that is not in the interface")
+		state := x.targetState()
+		if state.warmth != api.WarmthUnknown && state.warmth != api.WarmthWarm && state.warmth != api.WarmthCold {
+			t.Fatal("a warmth that api does not define")
 		}
-		if validStreamID(st.streamID) && strings.ContainsAny(st.streamID, "/?%# ") {
-			t.Fatal("a stream id that leaves its path")
+		if validStreamID(state.streamID) && strings.ContainsAny(state.streamID, "/?%# ") {
+			t.Fatal("a stream id that changes the path")
 		}
-		h := (&call{}).answerHead(&slot{}, x, -1)
+		h := (&call{}).responseHeader(&attempt{}, x, -1)
 		for k, v := range h.Header {
-			if strings.ContainsAny(k+v, "\r\n\x00") || internalHeaders[k] {
+			if strings.ContainsAny(k+v, "\r\n\x00") || strippedHeaders[k] {
 				t.Fatalf("passed on: %q: %q", k, v)
 			}
 		}
@@ -88,7 +88,7 @@
 }
 
 // Guards against events that are delivered twice, out of order or with a gap,
-// under any mix of lost, doubled and reordered events with resumes.
+// with any mix of lost, duplicated and reordered events and resumes.
 func TestSequencer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q sequencer
@@ -99,20 +99,20 @@
 				e := sse.Parse([]byte(eventText(id)))
 				out, v := q.push(&e)
 				delivered = append(delivered, out...)
-				if v == broken {
+				if v == verdictBroken {
 					break
 				}
 			}
-			q.restart()
-			if string(delivered) != eventsText(int(q.last)) {
-				t.Fatalf("after %d: %q", q.last, delivered)
+			q.dropEarly()
+			if string(delivered) != eventsTextTo(int(q.lastDelivered)) {
+				t.Fatalf("after %d: %q", q.lastDelivered, delivered)
 			}
 		}
 	})
 }
 
-// Guards against streams whose order cannot be checked but that are resumed,
-// and against an end mark that hides missing events.
+// Guards against the resume of streams whose order cannot be checked, and against an
+// end mark that hides missing events.
 func TestSequencerRules(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -120,13 +120,13 @@
 		want   []verdict
 		resume bool
 	}{
-		{"no numbers", []string{"data: a", "data: b", "data: [DONE]"}, []verdict{deliver, deliver, deliver}, false},
-		{"comment", []string{"id: 1\ndata: a", ": ping", "id: 2\ndata: b"}, []verdict{deliver, deliver, deliver}, true},
-		{"number is missing", []string{"id: 1\ndata: a", "data: b"}, []verdict{deliver, broken}, true},
-		{"number is no number", []string{"id: x\ndata: a"}, []verdict{broken}, false},
-		{"end without number", []string{"id: 1\ndata: a", "data: [DONE]"}, []verdict{deliver, deliver}, true},
-		{"end after a gap", []string{"id: 1\ndata: a", "id: 3\ndata: [DONE]"}, []verdict{deliver, broken}, true},
-		{"end with held events", []string{"id: 1\ndata: a", "id: 3\ndata: c", "data: [DONE]"}, []verdict{deliver, held, broken}, true},
+		{"no numbers", []string{"data: a", "data: b", "data: [DONE]"}, []verdict{verdictDeliver, verdictDeliver, verdictDeliver}, false},
+		{"comment", []string{"id: 1\ndata: a", ": ping", "id: 2\ndata: b"}, []verdict{verdictDeliver, verdictDeliver, verdictDeliver}, true},
+		{"number is missing", []string{"id: 1\ndata: a", "data: b"}, []verdict{verdictDeliver, verdictBroken}, true},
+		{"invalid number", []string{"id: x\ndata: a"}, []verdict{verdictBroken}, false},
+		{"end without number", []string{"id: 1\ndata: a", "data: [DONE]"}, []verdict{verdictDeliver, verdictDeliver}, true},
+		{"end after a gap", []string{"id: 1\ndata: a", "id: 3\ndata: [DONE]"}, []verdict{verdictDeliver, verdictBroken}, true},
+		{"end with early events", []string{"id: 1\ndata: a", "id: 3\ndata: c", "data: [DONE]"}, []verdict{verdictDeliver, verdictEarly, verdictBroken}, true},
 	}
 	for _, c := range cases {
 		is := is.New(t)
@@ -140,14 +140,15 @@
 	}
 }
 
-// Guards against an event without end that fills the memory.
+// Guards against an event of unlimited size that exhausts the memory.
 func TestEventTooLarge(t *testing.T) {
 	is := is.New(t)
 	_, _, err := readEvents(strings.NewReader(strings.Repeat("data: x\n", sse.MaxEvent/4)))
 	is.Equal(err, sse.ErrTooLarge)
 }
 
-// Guards against a wrong true cost.
+// Guards against a wrong cost of an engine's work, and against invalid usage that is
+// charged.
 func TestUsageCost(t *testing.T) {
 	for in, want := range map[string]float64{
 		`{"usage":{"prompt_tokens":50,"completion_tokens":10}}`: 15, `{"usage":{"prompt_tokens":-5,"completion_tokens":1}}`: 0,
--- a/plugin/dispatch/exchange.go
+++ b/plugin/dispatch/exchange.go
@@ -14,64 +14,68 @@
 	"nutmegrouter/internal/targetconn"
 )
 
-// exchange is one request and its answer on one connection.
+// exchange is one HTTP request and its response on one connection.
 type exchange struct {
-	d    *Dispatcher
-	conn *targetconn.Conn
-	resp *fasthttp.Response
-	body io.Reader // nil if the answer has no body
-	stop func() bool
-	// partial reports that the request was not written to its end.
-	partial bool
-	// id names the request; "" = it has no name. Named reports that the answer has it, too.
-	id    string
-	named bool
-}
-
-// headerID names a request. A target that repeats it in its answers shows to which request
-// each belongs.
-const headerID = "X-Request-Id"
-
-// bounds limits the time of an exchange.
-type bounds struct {
-	silence time.Duration // of each read and write
-	head    time.Time     // end of the wait for the answer's head
-	hard    time.Time     // end of the whole exchange
-}
-
-// message is what is sent to a target.
-type message struct {
+	d               *Dispatcher
+	conn            *targetconn.Conn
+	resp            *fasthttp.Response
+	body            io.Reader   // nil if the response has no body
+	stopCancelWatch func() bool // returns false if the cancelled context closed the connection
+	// requestIncomplete reports that the request was not written to its end.
+	requestIncomplete bool
+	// requestID is the X-Request-Id of the request; "" = none. idEchoed reports that the
+	// response has the same one.
+	requestID string
+	idEchoed  bool
+}
+
+// headerRequestID is the header with the id of a request. A response that repeats the id
+// can be matched with its request.
+const headerRequestID = "X-Request-Id"
+
+// timeLimits are the timeout and the deadlines of an exchange.
+type timeLimits struct {
+	ioTimeout      time.Duration // for each read and write
+	headerDeadline time.Time     // for the response header
+	deadline       time.Time     // for the whole exchange
+}
+
+// targetRequest is a request to send to a target.
+type targetRequest struct {
 	method, path, host string
 	header             map[string]string
-	extra              [][2]string
+	extraHeaders       [][2]string
 	body               []byte
 }
 
-// open sends a message and reads the head of the answer. The check runs
-// immediately before the first byte is written.
-func (d *Dispatcher) open(ctx context.Context, m *message, fresh bool, b bounds, check func() error) (*exchange, *fault) {
-	id := m.header[headerID]
+// open sends a request and reads the response header. The caller must close the
+// exchange. check runs immediately before the first byte is written; its error stops
+// the exchange. With fresh, or without a request id, the connection is a new one.
+func (d *Dispatcher) open(ctx context.Context, m *targetRequest, fresh bool, limits timeLimits, check func() error) (*exchange, *fault) {
+	id := m.header[headerRequestID]
 	conn, err := d.connect(ctx, m.host, fresh || id == "")
 	if err != nil {
 		return nil, &fault{step: "connect", cause: err}
 	}
-	conn.Arm(b.silence, b.head, check)
+	conn.Arm(limits.ioTimeout, limits.headerDeadline, check)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	x := &exchange{d: d, conn: conn, stop: stop, id: id, resp: fasthttp.AcquireResponse()}
+	x := &exchange{d: d, conn: conn, stopCancelWatch: stop, requestID: id, resp: fasthttp.AcquireResponse()}
 	x.resp.StreamBody = true
 	x.resp.SkipBody = m.method == fasthttp.MethodHead
-	if step, err := x.talk(m); err != nil {
+	if step, err := x.roundTrip(m); err != nil {
 		return nil, x.fail(step, err)
 	}
 	x.body = x.resp.BodyStream()
-	conn.SetHard(b.hard)
+	conn.SetHard(limits.deadline)
 	return x, nil
 }
 
-// talk sends the message and reads the head. It returns the step that failed.
-func (x *exchange) talk(m *message) (step string, err error) {
+// roundTrip sends the request and reads the response header. On an error it returns
+// the step that failed. On a reused connection a response that does not echo the
+// request id is an error, because it may be a duplicate of an earlier response.
+func (x *exchange) roundTrip(m *targetRequest) (step string, err error) {
 	if err := x.send(m); err != nil {
-		if x.early() {
+		if x.readEarlyRefusal() {
 			return "", nil
 		}
 		return "send", err
@@ -79,37 +83,40 @@
 	if err := x.resp.ReadLimitBody(x.conn.R, 0); err != nil {
 		return "head", err
 	}
-	x.named = x.id != "" && string(x.resp.Header.Peek(headerID)) == x.id
-	if x.conn.Reused && !x.named {
+	x.idEchoed = x.requestID != "" && string(x.resp.Header.Peek(headerRequestID)) == x.requestID
+	if x.conn.Reused && !x.idEchoed {
 		return "head", targetconn.ErrNameless
 	}
 	return "", nil
 }
 
-// early reads the answer of a target that refused a request before it had read
-// all of it and closed the connection. Only a refusal is taken for an answer.
-func (x *exchange) early() bool {
+// readEarlyRefusal reads the response of a target that refused a request and closed
+// the connection before it had read the whole request. It reports whether there is
+// one with a status of 400 or higher; other statuses are not accepted.
+func (x *exchange) readEarlyRefusal() bool {
 	c := x.conn
 	if c.Sent == 0 || (!errors.Is(c.Failure(), syscall.EPIPE) && !errors.Is(c.Failure(), syscall.ECONNRESET)) {
 		return false
 	}
-	x.partial = true
+	x.requestIncomplete = true
 	return x.resp.ReadLimitBody(c.R, 0) == nil && x.resp.StatusCode() >= fasthttp.StatusBadRequest
 }
 
+// connect returns an idle connection to the host, or a new one if there is none or
+// fresh is set.
 func (d *Dispatcher) connect(ctx context.Context, host string, fresh bool) (*targetconn.Conn, error) {
 	if !fresh {
 		if c := d.conns.Take(host); c != nil {
-			d.stats.reused.Inc()
+			d.stats.reusedConnections.Inc()
 			return c, nil
 		}
 	}
-	d.stats.fresh.Inc()
+	d.stats.newConnections.Inc()
 	return d.conns.Dial(ctx, host)
 }
 
-// send writes the request with fasthttp's wire format.
-func (x *exchange) send(m *message) error {
+// send writes the request in fasthttp's wire format.
+func (x *exchange) send(m *targetRequest) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	h := &req.Header
@@ -121,7 +128,7 @@
 	for k, v := range m.header {
 		h.Set(k, v)
 	}
-	for _, kv := range m.extra {
+	for _, kv := range m.extraHeaders {
 		h.Set(kv[0], kv[1])
 	}
 	req.SetBodyRaw(m.body)
@@ -131,27 +138,30 @@
 	return x.conn.W.Flush()
 }
 
-// fail ends an exchange without a head.
+// fail closes an exchange that has no response header and returns its fault. The
+// first error of the connection takes precedence over err, because fasthttp reports
+// some read errors as the end of the stream.
 func (x *exchange) fail(step string, err error) *fault {
 	if x.conn.Failure() != nil {
 		err = x.conn.Failure()
 	}
-	f := &fault{step: step, cause: err, sent: x.conn.Sent, received: x.conn.Received, reused: x.conn.Reused}
+	f := &fault{step: step, cause: err, sentBytes: x.conn.Sent, receivedBytes: x.conn.Received, reusedConnection: x.conn.Reused}
 	x.close(false)
 	return f
 }
 
-// close ends the exchange. The connection is kept only if the answer was whole, and named
-// its request: the next answer on it can then be told from a second one to this request.
-func (x *exchange) close(whole bool) {
+// close ends the exchange. The connection is kept only if the response was complete and
+// echoed the request id: the next response on it can then be told apart from a duplicate
+// of this one.
+func (x *exchange) close(complete bool) {
 	if x.resp == nil {
 		return
 	}
-	x.d.stats.sent.Add(int(x.conn.Sent))
-	x.d.stats.received.Add(int(x.conn.Received))
-	free := x.stop()
-	keep := whole && free && x.named && !x.partial && !x.resp.ConnectionClose() && x.conn.R.Buffered() == 0
-	x.resp.CloseBodyStream() //nolint:errcheck // a reader without resources of its own
+	x.d.stats.bytesSent.Add(int(x.conn.Sent))
+	x.d.stats.bytesReceived.Add(int(x.conn.Received))
+	notCancelled := x.stopCancelWatch()
+	keep := complete && notCancelled && x.idEchoed && !x.requestIncomplete && !x.resp.ConnectionClose() && x.conn.R.Buffered() == 0
+	x.resp.CloseBodyStream() //nolint:errcheck // the reader owns no resources
 	fasthttp.ReleaseResponse(x.resp)
 	x.resp, x.body = nil, nil
 	if keep {
@@ -161,8 +171,8 @@
 	x.conn.Release()
 }
 
-// read reads from the body. An end that only the closed connection marks is
-// not provably whole and gives io.ErrUnexpectedEOF.
+// read reads from the response body. It returns io.ErrUnexpectedEOF for a body that is
+// delimited only by the closed connection, because such a body may be truncated.
 func (x *exchange) read(p []byte) (int, error) {
 	if x.body == nil {
 		return 0, io.EOF
@@ -177,11 +187,11 @@
 	return n, err
 }
 
-// ended reports whether the rest of a chunked body is its end mark and has
-// already arrived. It does not wait for the target.
-func (x *exchange) ended() bool {
-	const endMark = "0\r\n\r\n"
-	if x.resp.Header.ContentLength() != lengthChunked || x.conn.R.Buffered() < len(endMark) {
+// endReceived reports whether the last chunk of a chunked body has already arrived and
+// is all that is left of it. It does not wait for the target.
+func (x *exchange) endReceived() bool {
+	const lastChunk = "0\r\n\r\n"
+	if x.resp.Header.ContentLength() != lengthChunked || x.conn.R.Buffered() < len(lastChunk) {
 		return false
 	}
 	var b [1]byte
@@ -189,29 +199,32 @@
 	return n == 0 && err == io.EOF
 }
 
-// Values that fasthttp uses for the length of a body.
+// Values of fasthttp's ContentLength for a chunked body, and for one that is delimited
+// by the closed connection.
 const (
 	lengthChunked  = -1
 	lengthIdentity = -2
 )
 
-// headState is what a target says about itself in the head of an answer.
-type headState struct {
+// targetState is the state that a target reports in a response header.
+type targetState struct {
 	warmth   api.Warmth
 	boot     uint64
 	streamID string
 }
 
-func (x *exchange) state() headState {
+// targetState returns the state in the response header. Missing and invalid values
+// are unknown, 0 and "".
+func (x *exchange) targetState() targetState {
 	h := &x.resp.Header
-	return headState{
+	return targetState{
 		warmth:   parseWarmth(string(h.Peek("X-Target-State"))),
 		boot:     parseBoot(string(h.Peek("X-Target-Boot"))),
 		streamID: string(h.Peek("X-Stream-Id")),
 	}
 }
 
-// parseWarmth returns unknown for anything but the two words of the interface.
+// parseWarmth returns api.WarmthUnknown for any other text than "warm" and "cold".
 func parseWarmth(s string) api.Warmth {
 	switch api.Warmth(s) {
 	case api.WarmthWarm, api.WarmthCold:
@@ -220,11 +233,11 @@
 	return api.WarmthUnknown
 }
 
-// parseBoot returns 0 for anything but a decimal number.
+// parseBoot parses a decimal boot number. It returns 0 for any other text.
 func parseBoot(s string) uint64 {
-	n, err := strconv.ParseUint(s, 10, 64)
+	boot, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
 		return 0
 	}
-	return n
+	return boot
 }
--- a/plugin/dispatch/fakes_test.go
+++ b/plugin/dispatch/fakes_test.go
@@ -26,73 +26,74 @@
 	"nutmegrouter/plugin/fleet"
 )
 
-// waitLimit ends a test that waits for something that does not come. It bounds
-// failures only; no passing test takes this long.
+// waitLimit is the longest wait for an expected event before a test fails. No passing
+// test takes this long.
 const waitLimit = 20 * time.Second
 
-// TestMain guards against goroutines that outlive their request. fasthttp's own
-// housekeeping ends some seconds later.
+// TestMain guards against goroutines that outlive their request. It ignores
+// fasthttp's maintenance goroutines, which end some seconds later.
 func TestMain(m *testing.M) {
 	const lib = "github.com/valyala/fasthttp."
-	goleak.VerifyTestMain(quietClient{m}, goleak.IgnoreAnyFunction(lib+"(*workerPool).Start.func2"),
+	goleak.VerifyTestMain(idleConnCloser{m}, goleak.IgnoreAnyFunction(lib+"(*workerPool).Start.func2"),
 		goleak.IgnoreAnyFunction(lib+"(*HostClient).connsCleaner"), goleak.IgnoreAnyFunction(lib+"(*TCPDialer).tcpAddrsClean"),
 		goleak.IgnoreAnyFunction(lib+"(*Client).mCleaner"), goleak.IgnoreAnyFunction(lib+"updateServerDate.func1"))
 }
 
-// quietClient closes the connections that the tests' HTTP client keeps.
-type quietClient struct{ m *testing.M }
+// idleConnCloser closes the idle connections of the tests' HTTP client after the
+// tests.
+type idleConnCloser struct{ m *testing.M }
 
-func (q quietClient) Run() int {
+func (c idleConnCloser) Run() int {
 	defer http.DefaultClient.CloseIdleConnections()
-	return q.m.Run()
+	return c.m.Run()
 }
 
-// farMs is a silence limit that no test reaches.
-const farMs = 40000
+// unreachedSilenceMs is a silence limit in milliseconds that no test reaches.
+const unreachedSilenceMs = 40000
 
-// seen is one request that reached a fake target.
-type seen struct {
+// receivedRequest is a request that a fake target has read, with its body.
+type receivedRequest struct {
 	*http.Request
 	body string
 }
 
-// wire lets a script write the bytes of an answer.
-type wire struct {
+// scriptConn is the connection on which a script writes the bytes of a response.
+type scriptConn struct {
 	net.Conn
-	t *fakeTarget
+	target *fakeTarget
 }
 
-func (w *wire) raw(s string) { io.WriteString(w.Conn, s) }
+func (w *scriptConn) raw(s string) { io.WriteString(w.Conn, s) }
 
-func (w *wire) plain(status int, body string, headers ...string) {
-	w.raw(fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), lines(headers), body))
+func (w *scriptConn) plain(status int, body string, headers ...string) {
+	w.raw(fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), headerLines(headers), body))
 }
 
-func (w *wire) stream(id string, headers ...string) {
+func (w *scriptConn) stream(id string, headers ...string) {
 	w.raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n" +
-		"X-Stream-Id: " + id + "\r\n" + lines(headers) + "\r\n")
+		"X-Stream-Id: " + id + "\r\n" + headerLines(headers) + "\r\n")
 }
 
-func (w *wire) chunk(s string) { w.raw(fmt.Sprintf("%x\r\n%s\r\n", len(s), s)) }
-func (w *wire) events(from, to int) {
+func (w *scriptConn) chunk(s string) { w.raw(fmt.Sprintf("%x\r\n%s\r\n", len(s), s)) }
+func (w *scriptConn) events(from, to int) {
 	for n := from; n <= to; n++ {
 		w.chunk(eventText(n))
 	}
 }
 
-// done ends a stream whose usage event has the number n.
-func (w *wire) done(n int) { w.chunk(endText(n)); w.raw("0\r\n\r\n") }
+// endStream sends the usage event with number n, [DONE] and the last chunk.
+func (w *scriptConn) endStream(n int) { w.chunk(endText(n)); w.raw("0\r\n\r\n") }
 
 // reset closes the connection with a TCP reset.
-func (w *wire) reset() {
+func (w *scriptConn) reset() {
 	w.Conn.(*net.TCPConn).SetLinger(0)
 	w.Close()
 }
 
-// silent keeps the connection open without a byte until the router closes it.
-func (w *wire) silent() { io.Copy(io.Discard, w.Conn) }
+// waitForClose sends nothing until the router closes the connection.
+func (w *scriptConn) waitForClose() { io.Copy(io.Discard, w.Conn) }
 
-func lines(headers []string) string { return strings.Join(append(headers, ""), "\r\n") }
+func headerLines(headers []string) string { return strings.Join(append(headers, ""), "\r\n") }
 
 func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: {\"n\":%d}\n\n", n, n) }
 
@@ -100,29 +101,29 @@
 	return fmt.Sprintf("id: %d\ndata: {\"usage\":{\"prompt_tokens\":20,\"completion_tokens\":7}}\n\nid: %d\ndata: [DONE]\n\n", n, n+1)
 }
 
-func eventsText(n int) (out string) {
+func eventsTextTo(n int) (out string) {
 	for i := 1; i <= n; i++ {
 		out += eventText(i)
 	}
 	return out
 }
 
-// allEvents is a whole stream of n events.
-func allEvents(n int) string { return eventsText(n) + endText(n+1) }
+// wholeStreamText is the text of a complete stream of n events.
+func wholeStreamText(n int) string { return eventsTextTo(n) + endText(n+1) }
 
-// fakeTarget records what reaches it and answers by a script.
+// fakeTarget records the requests it receives and lets a script respond.
 type fakeTarget struct {
-	name, addr string
-	script     func(w *wire, r *seen)
-	gone       atomic.Bool // closes new connections at once
+	name, addr    string
+	script        func(w *scriptConn, r *receivedRequest)
+	closeNewConns atomic.Bool // new connections are closed at once
 
-	mu       sync.Mutex
-	requests []*seen
-	bytes    int
-	conns    int
+	mu            sync.Mutex
+	requests      []*receivedRequest
+	receivedBytes int
+	openedConns   int
 }
 
-func newTarget(t *testing.T, name string, script func(w *wire, r *seen)) *fakeTarget {
+func newTarget(t *testing.T, name string, script func(w *scriptConn, r *receivedRequest)) *fakeTarget {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
@@ -132,7 +133,7 @@
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
 			t.Cleanup(func() { c.Close() })
 			f.mu.Lock()
-			f.conns++
+			f.openedConns++
 			f.mu.Unlock()
 			go f.serve(c)
 		}
@@ -140,44 +141,45 @@
 	return f
 }
 
-// counted counts the request bytes that arrive.
-type counted struct {
+// countingConn counts the request bytes that a target receives.
+type countingConn struct {
 	net.Conn
 	f *fakeTarget
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.f.mu.Lock()
-	c.f.bytes += n
+	c.f.receivedBytes += n
 	c.f.mu.Unlock()
 	return n, err
 }
 
 func (f *fakeTarget) serve(c net.Conn) {
 	defer c.Close()
-	if f.gone.Load() {
+	if f.closeNewConns.Load() {
 		return
 	}
-	br := bufio.NewReader(counted{c, f})
+	br := bufio.NewReader(countingConn{c, f})
 	for r, err := http.ReadRequest(br); err == nil; r, err = http.ReadRequest(br) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		s := &seen{r, string(body)}
+		s := &receivedRequest{r, string(body)}
 		f.mu.Lock()
 		f.requests = append(f.requests, s)
 		f.mu.Unlock()
-		f.script(&wire{c, f}, s)
+		f.script(&scriptConn{c, f}, s)
 	}
 }
 
-// work returns the requests, cancels the cancels of streams among them.
-func (f *fakeTarget) work() []*seen    { return f.filter(false) }
-func (f *fakeTarget) cancels() []*seen { return f.filter(true) }
+// workRequests returns the received requests except cancels of streams;
+// cancelRequests returns those cancels.
+func (f *fakeTarget) workRequests() []*receivedRequest   { return f.filterRequests(false) }
+func (f *fakeTarget) cancelRequests() []*receivedRequest { return f.filterRequests(true) }
 
-func (f *fakeTarget) filter(cancels bool) (out []*seen) {
+func (f *fakeTarget) filterRequests(cancels bool) (out []*receivedRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.requests {
@@ -188,27 +190,27 @@
 	return out
 }
 
-func isCancel(r *seen) bool { return strings.HasSuffix(r.URL.Path, "/cancel") }
+func isCancel(r *receivedRequest) bool { return strings.HasSuffix(r.URL.Path, "/cancel") }
 
-// counts returns the opened connections and the received request bytes.
+// counts returns the numbers of opened connections and of received request bytes.
 func (f *fakeTarget) counts() (conns, bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.conns, f.bytes
+	return f.openedConns, f.receivedBytes
 }
 
-// fakePool grants at once and records how the work ended.
+// fakePool grants requests at once and records the outcomes.
 type fakePool struct {
-	mu       sync.Mutex
-	targets  []*fakeTarget
-	hold     bool // grants nothing
-	refuse   func(n int) *api.Refusal
-	demands  []api.Demand
-	outcomes []api.Outcome
-	cancels  int
-	ended    chan api.Outcome
+	mu             sync.Mutex
+	targets        []*fakeTarget
+	withholdGrants bool // do not grant requests
+	refuse         func(n int) *api.Refusal
+	demands        []api.Demand
+	outcomes       []api.Outcome
+	cancels        int
+	ended          chan api.Outcome
 
-	confirmed atomic.Value // newest api.Warmth
+	confirmed atomic.Value // api.Warmth of the last Confirm
 }
 
 type fakeTicket struct {
@@ -227,7 +229,7 @@
 		}
 	}
 	t := &fakeTicket{p: p, grant: make(chan api.Grant, 1)}
-	if !p.hold {
+	if !p.withholdGrants {
 		t.grant <- p.choose(d.Avoid)
 	}
 	return t, nil
@@ -258,7 +260,7 @@
 	t.p.outcomes = append(t.p.outcomes, o)
 	select {
 	case t.p.ended <- o:
-	default: // a benchmark does not read them
+	default: // benchmarks do not read the channel
 	}
 }
 
@@ -268,8 +270,8 @@
 	t.p.cancels++
 }
 
-// results returns how the work ended, sorted: work on a target may end after the
-// next attempt, once the target has answered the cancel.
+// results returns the results of all attempts. They are sorted, because an attempt
+// whose cancel is not yet answered ends after the next attempt.
 func (p *fakePool) results() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -281,14 +283,15 @@
 	return strings.Join(out, " ")
 }
 
-// asked returns the numbers of demands and of cancelled ones.
-func (p *fakePool) asked() (demands, cancels int) {
+// demandCounts returns the numbers of demands and of cancelled tickets.
+func (p *fakePool) demandCounts() (demands, cancels int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.demands), p.cancels
 }
 
-// fakeLease embeds the interface for the methods that no test calls.
+// fakeLease is valid unless valid returns false. It embeds the interface for the
+// methods that no test calls.
 type fakeLease struct {
 	api.Lease
 	valid func() bool
@@ -296,20 +299,20 @@
 
 func (l *fakeLease) Valid() bool { return l.valid == nil || l.valid() }
 
-// fakeControl keeps claims in memory.
+// fakeControl stores claims in memory.
 type fakeControl struct {
 	api.Control
-	mu      sync.Mutex
-	claims  map[api.ClaimKey]api.ClaimResult
-	fail    error
-	settled chan *api.ClaimOutcome
+	mu       sync.Mutex
+	claims   map[api.ClaimKey]api.ClaimResult
+	claimErr error
+	settled  chan *api.ClaimOutcome
 }
 
 func (c *fakeControl) Claim(_ context.Context, k api.ClaimKey, _ string) (api.ClaimResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r, ok := c.claims[k]; ok || c.fail != nil {
-		return r, c.fail
+	if r, ok := c.claims[k]; ok || c.claimErr != nil {
+		return r, c.claimErr
 	}
 	c.claims[k] = api.ClaimResult{State: api.ClaimRunning}
 	return api.ClaimResult{State: api.ClaimNew}, nil
@@ -327,15 +330,15 @@
 	return nil
 }
 
-// rig is a dispatcher over fakes.
-type rig struct {
-	t       testing.TB
-	c       *kernel.Context
-	d       *Dispatcher
-	pool    *fakePool
-	lease   *fakeLease
-	control *fakeControl
-	fleet   *fleet.Holder
+// testEnv is a dispatcher with fakes of the services that it uses.
+type testEnv struct {
+	t         testing.TB
+	kernelCtx *kernel.Context
+	d         *Dispatcher
+	pool      *fakePool
+	lease     *fakeLease
+	control   *fakeControl
+	fleet     *fleet.Holder
 }
 
 // keyHash is the SHA-256 of the bearer key "secret".
@@ -346,8 +349,8 @@
 		DataCentres: []fleetconfig.DataCentre{{Name: "amman-a"}},
 		Workspaces:  []fleetconfig.Workspace{{Name: "w1", Weight: 1, KeyHashes: []string{keyHash}}},
 		Pools: []fleetconfig.Pool{
-			{Name: "llm", Kind: fleetconfig.KindEngine, Model: "m1", SilenceLimitMs: farMs},
-			{Name: "svc", Kind: fleetconfig.KindService, SilenceLimitMs: farMs},
+			{Name: "llm", Kind: fleetconfig.KindEngine, Model: "m1", SilenceLimitMs: unreachedSilenceMs},
+			{Name: "svc", Kind: fleetconfig.KindService, SilenceLimitMs: unreachedSilenceMs},
 		},
 	}
 	for _, f := range targets {
@@ -356,25 +359,25 @@
 	return cfg
 }
 
-func newRig(t testing.TB, targets ...*fakeTarget) *rig {
+func newTestEnv(t testing.TB, targets ...*fakeTarget) *testEnv {
 	t.Helper()
 	s := &settings.Settings{Instance: "a1", DataCentre: "amman-a", Listen: "127.0.0.1:0"}
 	s.Limits.StopGraceMs = 3000
 	c := kernel.NewContext(s, slog.New(slog.DiscardHandler), kernel.NewClock())
-	r := &rig{
-		t: t, c: c, d: &Dispatcher{}, lease: &fakeLease{}, fleet: &fleet.Holder{},
+	env := &testEnv{
+		t: t, kernelCtx: c, d: &Dispatcher{}, lease: &fakeLease{}, fleet: &fleet.Holder{},
 		pool:    &fakePool{targets: targets, ended: make(chan api.Outcome, 1<<16)},
 		control: &fakeControl{claims: map[api.ClaimKey]api.ClaimResult{}, settled: make(chan *api.ClaimOutcome, 64)},
 	}
-	must(t, errors.Join(r.fleet.Provision(c), kernel.Provide[api.Pool](c, r.pool), kernel.Provide[api.Lease](c, r.lease),
-		kernel.Provide[api.Control](c, r.control), r.d.Provision(c)))
-	r.fleet.Install(&api.View{Revision: 1, Config: config(targets...)})
+	must(t, errors.Join(env.fleet.Provision(c), kernel.Provide[api.Pool](c, env.pool), kernel.Provide[api.Lease](c, env.lease),
+		kernel.Provide[api.Control](c, env.control), env.d.Provision(c)))
+	env.fleet.Install(&api.View{Revision: 1, Config: config(targets...)})
 	t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), waitLimit)
 		defer stop()
-		must(t, errors.Join(r.d.Drain(ctx), r.d.Cleanup()))
+		must(t, errors.Join(env.d.Drain(ctx), env.d.Cleanup()))
 	})
-	return r
+	return env
 }
 
 func must(t testing.TB, err error) {
@@ -384,31 +387,31 @@
 	}
 }
 
-// do runs a request and reads its whole answer.
-func (r *rig) do(req *api.Request) (string, api.AnswerHead, error) {
-	ans, err := r.d.Do(context.Background(), req)
+// do runs a request and reads the whole response.
+func (env *testEnv) do(req *api.Request) (string, api.AnswerHead, error) {
+	resp, err := env.d.Do(context.Background(), req)
 	if err != nil {
 		return "", api.AnswerHead{}, err
 	}
-	defer ans.Close()
-	b, err := io.ReadAll(ans)
-	return string(b), ans.Head(), err
+	defer resp.Close()
+	b, err := io.ReadAll(resp)
+	return string(b), resp.Head(), err
 }
 
-// want runs a request that must be answered with the body.
-func (r *rig) want(req *api.Request, body string) api.AnswerHead {
-	r.t.Helper()
-	got, head, err := r.do(req)
+// wantBody runs a request and requires the response to have the body.
+func (env *testEnv) wantBody(req *api.Request, body string) api.AnswerHead {
+	env.t.Helper()
+	got, head, err := env.do(req)
 	if err != nil || got != body {
-		r.t.Fatalf("want %q, got %q, %v", body, got, err)
+		env.t.Fatalf("want %q, got %q, %v", body, got, err)
 	}
 	return head
 }
 
-// outcome waits for the end of work on a grant.
-func (r *rig) outcome() api.Outcome {
-	r.t.Helper()
-	return receive(r.t, r.pool.ended)
+// outcome waits for the outcome of an attempt.
+func (env *testEnv) outcome() api.Outcome {
+	env.t.Helper()
+	return receive(env.t, env.pool.ended)
 }
 
 func receive[T any](t testing.TB, c <-chan T) T {
@@ -417,7 +420,7 @@
 	case v := <-c:
 		return v
 	case <-time.After(waitLimit):
-		t.Fatal("nothing arrived")
+		t.Fatal("no value received within the wait limit")
 		panic("unreachable")
 	}
 }
@@ -430,26 +433,26 @@
 }
 
 func serviceRequest(method string) *api.Request {
-	r := &api.Request{ID: "r1", Workspace: "w1", Pool: "svc", Method: method, Path: "/count", Header: map[string]string{headerID: "r1"}}
+	r := &api.Request{ID: "r1", Workspace: "w1", Pool: "svc", Method: method, Path: "/count", Header: map[string]string{headerRequestID: "r1"}}
 	if method == "POST" {
 		r.Body, r.NonIdempotent = []byte("x=1"), true
 	}
 	return r
 }
 
-// impatient sets silence limits that silent targets reach soon.
-func impatient(r *rig, _ *api.Request) {
-	v := *r.fleet.View()
+// shortSilenceLimit lowers the silence limits to one second.
+func shortSilenceLimit(env *testEnv, _ *api.Request) {
+	v := *env.fleet.View()
 	cfg := *v.Config
 	cfg.Pools = slices.Clone(cfg.Pools)
 	for i := range cfg.Pools {
 		cfg.Pools[i].SilenceLimitMs = 1000
 	}
 	v.Revision, v.Config = v.Revision+1, &cfg
-	r.fleet.Install(&v)
+	env.fleet.Install(&v)
 }
 
-// eventually waits for a condition that must come true.
+// eventually waits until a condition is true and fails the test after waitLimit.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -457,25 +460,25 @@
 			return
 		}
 	}
-	t.Fatal("did not happen: " + what)
+	t.Fatal("condition not met: " + what)
 }
 
-// serve runs the entry plug-in over the rig's dispatcher.
-func (r *rig) serve() (*entry.Server, string) {
-	r.t.Helper()
+// serve starts the entry plug-in on the dispatcher and returns it with its URL.
+func (env *testEnv) serve() (*entry.Server, string) {
+	env.t.Helper()
 	s := &entry.Server{}
-	must(r.t, s.Provision(r.c))
+	must(env.t, s.Provision(env.kernelCtx))
 	ctx, stop := context.WithCancel(context.Background())
 	d := kernel.NewDuties(ctx)
-	must(r.t, s.Start(d))
-	r.t.Cleanup(func() {
+	must(env.t, s.Start(d))
+	env.t.Cleanup(func() {
 		stop()
-		must(r.t, errors.Join(d.Wait(), s.Cleanup()))
+		must(env.t, errors.Join(d.Wait(), s.Cleanup()))
 	})
 	return s, "http://" + s.Addr()
 }
 
-// fetch makes a call as a caller with a valid key and reads the whole answer.
+// fetch sends a request with a valid key to the router and reads the whole response.
 func fetch(method, url, body string) (string, error) {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -490,8 +493,8 @@
 	return string(b), err
 }
 
-// recorded reports whether the timeline has an event.
-func (r *rig) recorded(kind, step string) bool {
-	all, _ := r.c.Events.Read()
+// recorded reports whether the timeline contains an event.
+func (env *testEnv) recorded(kind, step string) bool {
+	all, _ := env.kernelCtx.Events.Read()
 	return slices.ContainsFunc(all, func(e kernel.Event) bool { return e.Kind == kind && e.Step == step })
 }
--- a/plugin/dispatch/fault.go
+++ b/plugin/dispatch/fault.go
@@ -11,63 +11,64 @@
 	"nutmegrouter/internal/api"
 )
 
-// Reasons for which a granted request is not started.
+// Reasons why a granted request is not sent.
 var (
 	errNoLease       = errors.New("this instance has no valid lease")
-	errTargetOut     = errors.New("the target's data centre is out of service")
+	errDataCentreOut = errors.New("the target's data centre is out of service")
 	errTargetUnknown = errors.New("the target is not in the configuration")
 )
 
-// Codes of refusals. They are stable words for callers.
+// Codes of refusals. Callers depend on the values.
 const (
-	codeGone        = "caller_gone"
-	codeNotReady    = "not_ready"
-	codeUnknownPool = "unknown_pool"
-	codeDeadline    = "deadline"
-	codeLimit       = "request_limit"
-	codeNotStarted  = "not_started"
-	codeUnreachable = "target_unreachable"
-	codeFailed      = "target_failed"
-	codeSilent      = "target_silent"
-	codeTruncated   = "answer_truncated"
-	codeBroken      = "stream_broken"
-	codeClaim       = "claim_unavailable"
-	codeClaimBusy   = "claim_running"
-	codeClaimLarge  = "claim_outcome_too_large"
+	codeCallerGone           = "caller_gone"
+	codeNotReady             = "not_ready"
+	codeUnknownPool          = "unknown_pool"
+	codeDeadline             = "deadline"
+	codeRequestLimit         = "request_limit"
+	codeNotStarted           = "not_started"
+	codeTargetUnreachable    = "target_unreachable"
+	codeTargetFailed         = "target_failed"
+	codeTargetSilent         = "target_silent"
+	codeAnswerTruncated      = "answer_truncated"
+	codeStreamBroken         = "stream_broken"
+	codeClaimUnavailable     = "claim_unavailable"
+	codeClaimRunning         = "claim_running"
+	codeClaimOutcomeTooLarge = "claim_outcome_too_large"
 )
 
-// statusGone is the status of requests whose caller went away; nobody reads it.
-const statusGone = 499
+// statusClientClosedRequest is recorded for a request whose caller disconnected; it
+// is never received by anyone.
+const statusClientClosedRequest = 499
 
-// fault is the failure of one attempt on one target.
+// fault is the error of one attempt on one target.
 type fault struct {
 	code   string
 	step   string
 	target string
 	status int
-	// sent is the number of request bytes that may have reached the target.
-	sent int64
-	// received is the number of answer bytes read.
-	received int64
-	// reused reports that the connection had served an earlier request.
-	reused bool
-	// final forbids another attempt.
-	final bool
-	cause error
+	// sentBytes is the number of request bytes that may have reached the target.
+	sentBytes int64
+	// receivedBytes is the number of response bytes read.
+	receivedBytes int64
+	// reusedConnection reports that the connection had served an earlier request.
+	reusedConnection bool
+	// noRetry forbids another attempt.
+	noRetry bool
+	cause   error
 }
 
-// Error implements error.
+// Error implements error. The text is recorded in the timeline.
 func (f *fault) Error() string {
-	return fmt.Sprintf("%s: %s: target %s after %d bytes sent: %v", f.step, f.code, f.target, f.sent, f.cause)
+	return fmt.Sprintf("%s: %s: target %s after %d bytes sent: %v", f.step, f.code, f.target, f.sentBytes, f.cause)
 }
 
-// certainlyNotRun reports that no byte of the request can have reached a target.
-func (f *fault) certainlyNotRun() bool { return f.sent == 0 }
+// certainlyNotRun reports whether no byte of the request can have reached a target.
+func (f *fault) certainlyNotRun() bool { return f.sentBytes == 0 }
 
-// stale reports a failure that a target causes when it closes an idle
-// connection at the moment a request is sent on it.
-func (f *fault) stale() bool {
-	return f.reused && f.received == 0 && !isTimeout(f.cause) && !notStarted(f.cause)
+// staleConnection reports a failure that is typical of a target that closes an idle
+// connection while a request is sent on it.
+func (f *fault) staleConnection() bool {
+	return f.reusedConnection && f.receivedBytes == 0 && !isTimeout(f.cause) && !isNotStarted(f.cause)
 }
 
 func isTimeout(err error) bool {
@@ -75,32 +76,34 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) || (errors.As(err, &ne) && ne.Timeout())
 }
 
-func notStarted(err error) bool {
-	return errors.Is(err, errNoLease) || errors.Is(err, errTargetOut) || errors.Is(err, errTargetUnknown)
+// isNotStarted reports whether a check before the first byte failed.
+func isNotStarted(err error) bool {
+	return errors.Is(err, errNoLease) || errors.Is(err, errDataCentreOut) || errors.Is(err, errTargetUnknown)
 }
 
-// classify sets the code and status of a fault from its cause.
-func (f *fault) classify(b bounds) *fault {
-	late := isTimeout(f.cause) && !time.Now().Before(b.head)
+// classify sets the code and status of a fault from its cause, and noRetry if a
+// deadline passed.
+func (f *fault) classify(limits timeLimits) *fault {
+	deadlinePassed := isTimeout(f.cause) && !time.Now().Before(limits.headerDeadline)
 	switch {
-	case notStarted(f.cause):
+	case isNotStarted(f.cause):
 		f.code, f.status = codeNotStarted, 503
-	case late && b.head.Before(b.hard):
-		f.code, f.status, f.final = codeDeadline, 504, true
-	case late:
-		f.code, f.status, f.final = codeLimit, 504, true
-	case isTimeout(f.cause) && f.sent > 0:
-		f.code, f.status = codeSilent, 504
-	case f.sent == 0:
-		f.code, f.status = codeUnreachable, 502
+	case deadlinePassed && limits.headerDeadline.Before(limits.deadline):
+		f.code, f.status, f.noRetry = codeDeadline, 504, true
+	case deadlinePassed:
+		f.code, f.status, f.noRetry = codeRequestLimit, 504, true
+	case isTimeout(f.cause) && f.sentBytes > 0:
+		f.code, f.status = codeTargetSilent, 504
+	case f.sentBytes == 0:
+		f.code, f.status = codeTargetUnreachable, 502
 	default:
-		f.code, f.status = codeFailed, 502
+		f.code, f.status = codeTargetFailed, 502
 	}
 	return f
 }
 
-// refusal turns the last fault into the answer for the caller. The request may
-// have been run if any attempt sent a byte, not only the last one.
+// refusal converts the last fault to a refusal for the caller. The request may
+// have run if any attempt sent a byte, not only the last one.
 func (c *call) refusal(f *fault) *api.Refusal {
 	r := &api.Refusal{
 		Code: f.code, Status: f.status, Step: f.step, Peer: f.target,
@@ -110,22 +113,23 @@
 		r.Message = f.cause.Error()
 	}
 	if r.Status >= 500 {
-		r.RetryAfter = retryAdvice
+		r.RetryAfter = retryAfter
 	}
 	return r
 }
 
+// runState returns whether the request may have run in any attempt.
 func (c *call) runState() api.RunState {
-	if c.touched {
+	if c.mayHaveRun {
 		return api.RunUnknown
 	}
 	return api.NotRun
 }
 
-// amend corrects the run state of a refusal that another plug-in made for a
-// later attempt of a request that an earlier attempt may have run.
-func (c *call) amend(r *api.Refusal) *api.Refusal {
-	if !c.touched || r.Run == api.RunUnknown {
+// correctRunState returns a refusal by another plug-in with the run state of the
+// whole call: that plug-in does not know whether an earlier attempt may have run.
+func (c *call) correctRunState(r *api.Refusal) *api.Refusal {
+	if !c.mayHaveRun || r.Run == api.RunUnknown {
 		return r
 	}
 	out := *r
@@ -133,9 +137,10 @@
 	return &out
 }
 
-func (c *call) gone() *api.Refusal {
+// disconnectRefusal returns the refusal for a disconnected caller.
+func (c *call) disconnectRefusal() *api.Refusal {
 	return &api.Refusal{
-		Code: codeGone, Status: statusGone, Step: "dispatch", Run: c.runState(),
+		Code: codeCallerGone, Status: statusClientClosedRequest, Step: "dispatch", Run: c.runState(),
 		Message: "the caller closed the connection",
 	}
 }
--- a/plugin/dispatch/faults_test.go
+++ b/plugin/dispatch/faults_test.go
@@ -15,12 +15,14 @@
 	"nutmegrouter/internal/api"
 )
 
-// script answers the n-th work request on a target, from 1.
-type script func(w *wire, r *seen, n int)
+// script responds to the n-th request on a target, counted from 1 without cancels.
+type script func(w *scriptConn, r *receivedRequest, n int)
 
-func numbered(s script) func(w *wire, r *seen) {
+// runScript returns a handler that responds to cancels and runs a script for other
+// requests.
+func runScript(s script) func(w *scriptConn, r *receivedRequest) {
 	var n atomic.Int32
-	return func(w *wire, r *seen) {
+	return func(w *scriptConn, r *receivedRequest) {
 		if isCancel(r) {
 			w.plain(200, "")
 			return
@@ -29,17 +31,17 @@
 	}
 }
 
-func ok(w *wire, _ *seen, _ int) { w.plain(200, "ok") }
+func respondOK(w *scriptConn, _ *receivedRequest, _ int) { w.plain(200, "ok") }
 
-func streamOK(w *wire, _ *seen, _ int) {
+func streamFiveEvents(w *scriptConn, _ *receivedRequest, _ int) {
 	w.stream("s2")
 	w.events(1, 5)
-	w.done(6)
+	w.endStream(6)
 }
 
-// deadAddress refuses connections. Its port stays bound, so that no other test
-// listens on it.
-func deadAddress(t *testing.T) *fakeTarget {
+// refusingTarget returns a target that refuses connections. Its port stays bound, so
+// that no other test listens on it.
+func refusingTarget(t *testing.T) *fakeTarget {
 	_, f := boundAddress(t)
 	return f
 }
@@ -54,8 +56,9 @@
 	return fd, &fakeTarget{name: "dead", addr: fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port)}
 }
 
-// muteAddress does not answer connection requests: its queue is full.
-func muteAddress(t *testing.T) *fakeTarget {
+// unresponsiveTarget returns a target that does not respond to connection requests,
+// because its accept queue is full.
+func unresponsiveTarget(t *testing.T) *fakeTarget {
 	fd, f := boundAddress(t)
 	must(t, syscall.Listen(fd, 0))
 	for {
@@ -67,125 +70,134 @@
 	}
 }
 
+// faultCase is a request, the failures of its targets and the expected result.
 type faultCase struct {
-	name    string
-	first   script // target t1; nil = refuses connections
-	second  script // target t2; nil = none
-	method  string // plain service call, "" = engine call
-	prepare func(r *rig, req *api.Request)
-
-	body    string // whole answer, "" = refusal expected
-	code    string
-	run     api.RunState
-	broken  bool   // the answer begins, then fails
-	results string // how the work on grants ended
-	sends   string // requests seen by t1 and t2
+	name     string
+	t1Script script // of target t1; nil = it refuses connections
+	t2Script script // of target t2; nil = no such target
+	method   string // of a request to a plain service, "" = request to an engine
+	prepare  func(r *testEnv, req *api.Request)
+
+	body            string // of the whole response, "" = refusal expected
+	code            string
+	run             api.RunState
+	failsAfterStart bool   // the response starts, then fails
+	results         string // of the attempts, sorted
+	sends           string // requests received by t1 and t2
 }
 
-func cut(w *wire, _ *seen, _ int)    { w.reset() }
-func closed(w *wire, _ *seen, _ int) { w.Close() }
-func silent(w *wire, _ *seen, _ int) { w.silent() }
+func resetConn(w *scriptConn, _ *receivedRequest, _ int) { w.reset() }
+func closeConn(w *scriptConn, _ *receivedRequest, _ int) { w.Close() }
+func stayOpen(w *scriptConn, _ *receivedRequest, _ int)  { w.waitForClose() }
 
-func halfHead(w *wire, _ *seen, _ int) { w.raw("HTTP/1.1 200 OK\r\nContent-Le"); w.Close() }
+func halfHeader(w *scriptConn, _ *receivedRequest, _ int) {
+	w.raw("HTTP/1.1 200 OK\r\nContent-Le")
+	w.Close()
+}
 
-func halfBody(w *wire, _ *seen, _ int) {
+func halfBody(w *scriptConn, _ *receivedRequest, _ int) {
 	w.raw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345")
 	w.Close()
 }
 
-func noLength(w *wire, _ *seen, _ int) { w.raw("HTTP/1.1 200 OK\r\n\r\nok"); w.Close() }
+func bodyWithoutLength(w *scriptConn, _ *receivedRequest, _ int) {
+	w.raw("HTTP/1.1 200 OK\r\n\r\nok")
+	w.Close()
+}
 
-func halfChunks(w *wire, _ *seen, _ int) {
+func halfChunks(w *scriptConn, _ *receivedRequest, _ int) {
 	w.raw("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 	w.chunk("{")
 	w.Close()
 }
 
-func headOnly(w *wire, _ *seen, _ int) { w.stream("s1"); w.reset() }
+func streamHeaderOnly(w *scriptConn, _ *receivedRequest, _ int) { w.stream("s1"); w.reset() }
 
-// plainFaults are the failures of calls to plain services.
+// plainFaults are failures of requests to plain services.
 var plainFaults = []faultCase{
-	{name: "refused, another target", method: "POST", second: ok, body: "ok", results: "failed ok", sends: "0 1"},
-	{name: "refused everywhere", method: "POST", code: codeUnreachable, run: api.NotRun, sends: "0 0",
+	{name: "refused, another target", method: "POST", t2Script: respondOK, body: "ok", results: "failed ok", sends: "0 1"},
+	{name: "refused everywhere", method: "POST", code: codeTargetUnreachable, run: api.NotRun, sends: "0 0",
 		results: "failed failed failed failed failed failed failed failed failed failed"},
-	{name: "reset before head, GET", method: "GET", first: cut, second: ok, body: "ok", results: "failed ok", sends: "1 1"},
-	{name: "reset before head, POST", method: "POST", first: cut, second: ok, code: codeFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "closed before head, POST", method: "POST", first: closed, second: ok, code: codeFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "half a head, POST", method: "POST", first: halfHead, second: ok, code: codeFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "half a head, GET", method: "GET", first: halfHead, second: ok, body: "ok", results: "failed ok", sends: "1 1"},
-	{name: "half a body, POST", method: "POST", first: halfBody, second: ok, code: codeTruncated, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "half a body, GET", method: "GET", first: halfBody, second: ok, body: "ok", results: "failed ok", sends: "1 1"},
-	{name: "half the chunks, GET", method: "GET", first: halfChunks, second: ok, body: "ok", results: "failed ok", sends: "1 1"},
-	{name: "no length, GET", method: "GET", first: noLength, broken: true, code: codeTruncated, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "silent after request, GET", method: "GET", first: silent, second: ok, prepare: impatient, body: "ok", results: "failed ok", sends: "1 1"},
-	{name: "silent after request, POST", method: "POST", first: silent, second: ok, prepare: impatient, code: codeSilent, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "silent everywhere, GET", method: "GET", first: silent, prepare: impatient, code: codeSilent, run: api.RunUnknown, results: "failed failed failed failed", sends: "4 0"},
-	{name: "503 then another target, GET", method: "GET", first: status(503), second: ok, body: "ok", results: "failed ok", sends: "1 1"},
-	{name: "503 is passed on, POST", method: "POST", first: status(503), second: ok, body: "no", results: "failed", sends: "1 0"},
-	{name: "503 everywhere is passed on, GET", method: "GET", first: status(503), body: "no", results: "failed failed failed failed", sends: "4 0"},
-	{name: "500 is an answer, GET", method: "GET", first: status(500), second: ok, body: "no", results: "ok", sends: "1 0"},
-	{name: "no lease", method: "GET", first: ok, prepare: noLease, code: codeNotStarted, run: api.NotRun, sends: "0 0",
+	{name: "reset before header, GET", method: "GET", t1Script: resetConn, t2Script: respondOK, body: "ok", results: "failed ok", sends: "1 1"},
+	{name: "reset before header, POST", method: "POST", t1Script: resetConn, t2Script: respondOK, code: codeTargetFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "closed before header, POST", method: "POST", t1Script: closeConn, t2Script: respondOK, code: codeTargetFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "half a header, POST", method: "POST", t1Script: halfHeader, t2Script: respondOK, code: codeTargetFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "half a header, GET", method: "GET", t1Script: halfHeader, t2Script: respondOK, body: "ok", results: "failed ok", sends: "1 1"},
+	{name: "half a body, POST", method: "POST", t1Script: halfBody, t2Script: respondOK, code: codeAnswerTruncated, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "half a body, GET", method: "GET", t1Script: halfBody, t2Script: respondOK, body: "ok", results: "failed ok", sends: "1 1"},
+	{name: "half the chunks, GET", method: "GET", t1Script: halfChunks, t2Script: respondOK, body: "ok", results: "failed ok", sends: "1 1"},
+	{name: "no length, GET", method: "GET", t1Script: bodyWithoutLength, failsAfterStart: true, code: codeAnswerTruncated, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "silent after request, GET", method: "GET", t1Script: stayOpen, t2Script: respondOK, prepare: shortSilenceLimit, body: "ok", results: "failed ok", sends: "1 1"},
+	{name: "silent after request, POST", method: "POST", t1Script: stayOpen, t2Script: respondOK, prepare: shortSilenceLimit, code: codeTargetSilent, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "silent everywhere, GET", method: "GET", t1Script: stayOpen, prepare: shortSilenceLimit, code: codeTargetSilent, run: api.RunUnknown, results: "failed failed failed failed", sends: "4 0"},
+	{name: "503 then another target, GET", method: "GET", t1Script: status(503), t2Script: respondOK, body: "ok", results: "failed ok", sends: "1 1"},
+	{name: "503 is passed on, POST", method: "POST", t1Script: status(503), t2Script: respondOK, body: "no", results: "failed", sends: "1 0"},
+	{name: "503 everywhere is passed on, GET", method: "GET", t1Script: status(503), body: "no", results: "failed failed failed failed", sends: "4 0"},
+	{name: "500 is passed on, GET", method: "GET", t1Script: status(500), t2Script: respondOK, body: "no", results: "ok", sends: "1 0"},
+	{name: "no lease", method: "GET", t1Script: respondOK, prepare: noLease, code: codeNotStarted, run: api.NotRun, sends: "0 0",
 		results: "not_started not_started not_started not_started not_started not_started not_started not_started not_started not_started"},
-	{name: "data centre out", method: "POST", first: ok, prepare: takeOut, code: codeNotStarted, run: api.NotRun, sends: "0 0",
+	{name: "data centre out", method: "POST", t1Script: respondOK, prepare: takeDataCentreOut, code: codeNotStarted, run: api.NotRun, sends: "0 0",
 		results: "not_started not_started not_started not_started not_started not_started not_started not_started not_started not_started"},
-	{name: "refused by the queue", method: "POST", first: ok, prepare: refuseFrom(1), code: "queue_full", run: api.NotRun, sends: "0 0"},
-	{name: "refused by the queue after a send", method: "GET", first: cut, prepare: refuseFrom(2), code: "queue_full", run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "unknown pool", method: "GET", first: ok, prepare: func(_ *rig, q *api.Request) { q.Pool = "none" }, code: codeUnknownPool, run: api.NotRun, sends: "0 0"},
-	{name: "deadline while the target works", method: "GET", first: silent, second: ok, prepare: func(_ *rig, q *api.Request) { q.Deadline = time.Second },
+	{name: "refused by the queue", method: "POST", t1Script: respondOK, prepare: refuseFrom(1), code: "queue_full", run: api.NotRun, sends: "0 0"},
+	{name: "refused by the queue after a send", method: "GET", t1Script: resetConn, prepare: refuseFrom(2), code: "queue_full", run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "unknown pool", method: "GET", t1Script: respondOK, prepare: func(_ *testEnv, q *api.Request) { q.Pool = "none" }, code: codeUnknownPool, run: api.NotRun, sends: "0 0"},
+	{name: "deadline while the target works", method: "GET", t1Script: stayOpen, t2Script: respondOK, prepare: func(_ *testEnv, q *api.Request) { q.Deadline = time.Second },
 		code: codeDeadline, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "switching protocols", method: "POST", first: func(w *wire, _ *seen, _ int) { w.raw("HTTP/1.1 101 X\r\n\r\n") },
-		code: codeFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "switching protocols", method: "POST", t1Script: func(w *scriptConn, _ *receivedRequest, _ int) { w.raw("HTTP/1.1 101 X\r\n\r\n") },
+		code: codeTargetFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
 }
 
-// streamFaults are the failures of engine streams.
+// streamFaults are failures of engine streams.
 var streamFaults = []faultCase{
-	{name: "dies after head", first: headOnly, second: streamOK, body: allEvents(5), results: "failed ok", sends: "1 1"},
-	{name: "dies after head, non-idempotent", first: headOnly, second: streamOK, prepare: marked, code: codeFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "dies in the stream, resumes", first: dies(3, resumes), body: allEvents(5), results: "ok", sends: "2 0"},
-	{name: "dies in the stream, no resume", first: dies(3, refusesResume), broken: true, code: codeBroken, run: api.RunUnknown, results: "failed", sends: "2 0"},
-	{name: "dies in the stream, begins anew", first: dies(3, streamOK), broken: true, code: codeBroken, run: api.RunUnknown, results: "failed", sends: "2 0"},
-	{name: "dies in the stream, non-idempotent", first: dies(3, resumes), prepare: marked, broken: true, code: codeBroken, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "silent in the stream, resumes", first: stalls(3, resumes), prepare: impatient, body: allEvents(5), results: "ok", sends: "2 0"},
-	{name: "ends without [DONE], resumes", first: ends(3, resumes), body: allEvents(5), results: "ok", sends: "2 0"},
-	{name: "resume fails once", first: dies(3, func(w *wire, r *seen, n int) {
+	{name: "closes after header", t1Script: streamHeaderOnly, t2Script: streamFiveEvents, body: wholeStreamText(5), results: "failed ok", sends: "1 1"},
+	{name: "closes after header, non-idempotent", t1Script: streamHeaderOnly, t2Script: streamFiveEvents, prepare: markNonIdempotent, code: codeTargetFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "closes in the stream, resumes", t1Script: closesAfter(3, resumes), body: wholeStreamText(5), results: "ok", sends: "2 0"},
+	{name: "closes in the stream, no resume", t1Script: closesAfter(3, refusesResume), failsAfterStart: true, code: codeStreamBroken, run: api.RunUnknown, results: "failed", sends: "2 0"},
+	{name: "closes in the stream, starts a new stream", t1Script: closesAfter(3, streamFiveEvents), failsAfterStart: true, code: codeStreamBroken, run: api.RunUnknown, results: "failed", sends: "2 0"},
+	{name: "closes in the stream, non-idempotent", t1Script: closesAfter(3, resumes), prepare: markNonIdempotent, failsAfterStart: true, code: codeStreamBroken, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "silent in the stream, resumes", t1Script: stallsAfter(3, resumes), prepare: shortSilenceLimit, body: wholeStreamText(5), results: "ok", sends: "2 0"},
+	{name: "ends without [DONE], resumes", t1Script: endsAfter(3, resumes), body: wholeStreamText(5), results: "ok", sends: "2 0"},
+	{name: "resume fails once", t1Script: closesAfter(3, func(w *scriptConn, r *receivedRequest, n int) {
 		if n == 2 {
 			w.reset()
 			return
 		}
 		resumes(w, r, n)
-	}), body: allEvents(5), results: "ok", sends: "3 0"},
-	{name: "resume sends old events again", first: dies(3, func(w *wire, _ *seen, _ int) {
+	}), body: wholeStreamText(5), results: "ok", sends: "3 0"},
+	{name: "resume sends old events again", t1Script: closesAfter(3, func(w *scriptConn, _ *receivedRequest, _ int) {
 		w.stream("s1")
 		w.events(1, 5)
-		w.done(6)
-	}), body: allEvents(5), results: "ok", sends: "2 0"},
-	{name: "duplicate events", first: order(1, 1, 2, 2, 3, 4, 5), body: allEvents(5), results: "ok", sends: "1 0"},
-	{name: "reordered events", first: order(1, 3, 2, 5, 4), body: allEvents(5), results: "ok", sends: "1 0"},
-	{name: "missing event, resumes", first: order(1, 2, 4, 5), body: allEvents(5), results: "ok", sends: "2 0"},
-	{name: "truncated event, resumes", first: breaks(2, func(w *wire, _ *seen, _ int) { w.chunk("id: 3\ndata: {\"n\""); w.raw("0\r\n\r\n") }, resumes),
-		body: allEvents(5), results: "ok", sends: "2 0"},
-	{name: "target gone after events", first: func(w *wire, _ *seen, _ int) {
-		w.t.gone.Store(true)
+		w.endStream(6)
+	}), body: wholeStreamText(5), results: "ok", sends: "2 0"},
+	{name: "duplicate events", t1Script: sendsEvents(1, 1, 2, 2, 3, 4, 5), body: wholeStreamText(5), results: "ok", sends: "1 0"},
+	{name: "reordered events", t1Script: sendsEvents(1, 3, 2, 5, 4), body: wholeStreamText(5), results: "ok", sends: "1 0"},
+	{name: "missing event, resumes", t1Script: sendsEvents(1, 2, 4, 5), body: wholeStreamText(5), results: "ok", sends: "2 0"},
+	{name: "truncated event, resumes", t1Script: failsAfter(2, func(w *scriptConn, _ *receivedRequest, _ int) { w.chunk("id: 3\ndata: {\"n\""); w.raw("0\r\n\r\n") }, resumes),
+		body: wholeStreamText(5), results: "ok", sends: "2 0"},
+	{name: "target unreachable after events", t1Script: func(w *scriptConn, _ *receivedRequest, _ int) {
+		w.target.closeNewConns.Store(true)
 		w.stream("s1")
 		w.events(1, 2)
 		w.Close()
-	}, broken: true, code: codeBroken, run: api.RunUnknown, results: "failed", sends: "1 0"},
-	{name: "refused stream", first: status(400), body: "no", results: "ok", sends: "1 0"},
+	}, failsAfterStart: true, code: codeStreamBroken, run: api.RunUnknown, results: "failed", sends: "1 0"},
+	{name: "refused stream", t1Script: status(400), body: "no", results: "ok", sends: "1 0"},
 }
 
-func status(code int) script { return func(w *wire, _ *seen, _ int) { w.plain(code, "no") } }
+func status(code int) script {
+	return func(w *scriptConn, _ *receivedRequest, _ int) { w.plain(code, "no") }
+}
 
-func noLease(r *rig, _ *api.Request) { r.lease.valid = func() bool { return false } }
+func noLease(env *testEnv, _ *api.Request) { env.lease.valid = func() bool { return false } }
 
-func takeOut(r *rig, _ *api.Request) {
-	v := *r.fleet.View()
+func takeDataCentreOut(env *testEnv, _ *api.Request) {
+	v := *env.fleet.View()
 	v.Revision, v.Out = v.Revision+1, map[string]bool{"amman-a": true}
-	r.fleet.Install(&v)
+	env.fleet.Install(&v)
 }
 
-func refuseFrom(n int) func(*rig, *api.Request) {
-	return func(r *rig, _ *api.Request) {
-		r.pool.refuse = func(k int) *api.Refusal {
+func refuseFrom(n int) func(*testEnv, *api.Request) {
+	return func(env *testEnv, _ *api.Request) {
+		env.pool.refuse = func(k int) *api.Refusal {
 			if k < n {
 				return nil
 			}
@@ -194,58 +206,62 @@
 	}
 }
 
-func marked(_ *rig, q *api.Request) { q.NonIdempotent = true }
+func markNonIdempotent(_ *testEnv, q *api.Request) { q.NonIdempotent = true }
 
-func begun(w *wire, last int) { w.stream("s1"); w.events(1, last) }
+func startStream(w *scriptConn, last int) { w.stream("s1"); w.events(1, last) }
 
-// dies, stalls and ends send events 1 to last and hand later requests to next.
-func dies(last int, next script) script   { return breaks(last, closed, next) }
-func stalls(last int, next script) script { return breaks(last, silent, next) }
-func ends(last int, next script) script {
-	return breaks(last, func(w *wire, _ *seen, _ int) { w.raw("0\r\n\r\n") }, next)
+// closesAfter, stallsAfter and endsAfter send events 1 to last and then close the
+// connection, stop sending, or end the body. Later requests are handled by next.
+func closesAfter(last int, next script) script { return failsAfter(last, closeConn, next) }
+func stallsAfter(last int, next script) script { return failsAfter(last, stayOpen, next) }
+func endsAfter(last int, next script) script {
+	return failsAfter(last, func(w *scriptConn, _ *receivedRequest, _ int) { w.raw("0\r\n\r\n") }, next)
 }
 
-func breaks(last int, how, next script) script {
-	return func(w *wire, r *seen, n int) {
+// failsAfter sends events 1 to last and runs failure. Later requests are handled by
+// next.
+func failsAfter(last int, failure, next script) script {
+	return func(w *scriptConn, r *receivedRequest, n int) {
 		if n > 1 {
 			next(w, r, n)
 			return
 		}
-		begun(w, last)
-		how(w, r, n)
+		startStream(w, last)
+		failure(w, r, n)
 	}
 }
 
-// order sends the given events and the end, and resumes later.
-func order(ids ...int) script {
-	return breaks(0, func(w *wire, _ *seen, _ int) {
+// sendsEvents sends the given events and the end of the stream, and resumes the stream
+// on later requests.
+func sendsEvents(ids ...int) script {
+	return failsAfter(0, func(w *scriptConn, _ *receivedRequest, _ int) {
 		for _, id := range ids {
 			w.events(id, id)
 		}
-		w.done(6)
+		w.endStream(6)
 	}, resumes)
 }
 
-// resumes answers as an engine that can resume a stream of five events.
-func resumes(w *wire, r *seen, _ int) {
+// resumes responds as an engine that can resume a stream of five events.
+func resumes(w *scriptConn, r *receivedRequest, _ int) {
 	if r.Header.Get("X-Resume-Id") != "s1" {
 		w.plain(400, "not a resume")
 		return
 	}
 	w.stream("s1")
 	w.events(int(parseBoot(r.Header.Get("Last-Event-ID")))+1, 5)
-	w.done(6)
+	w.endStream(6)
 }
 
-func refusesResume(w *wire, _ *seen, _ int) { w.plain(404, "no such stream") }
+func refusesResume(w *scriptConn, _ *receivedRequest, _ int) { w.plain(404, "no such stream") }
 
-// Guards against calls to plain services that are repeated when the page
-// forbids it, cut answers that look whole, slots that are not freed, and
-// refusals that say "not run" although a byte reached a target.
+// Guards against requests to plain services that are retried although they must not
+// be, truncated responses that look complete, slots that are not freed, and refusals
+// with "not-run" although a byte reached a target.
 func TestPlainFaults(t *testing.T) { t.Parallel(); runFaults(t, plainFaults) }
 
-// Guards against events that are lost, doubled or out of order, streams that
-// end early and look whole, and non-idempotent requests that are sent again.
+// Guards against events that are lost, duplicated or out of order, streams that
+// end early and look complete, and non-idempotent requests that are sent again.
 func TestStreamFaults(t *testing.T) { t.Parallel(); runFaults(t, streamFaults) }
 
 func runFaults(t *testing.T, cases []faultCase) {
@@ -253,34 +269,34 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r, t1, t2 := faultRig(t, &c)
+			env, t1, t2 := newFaultEnv(t, &c)
 			req := engineRequest()
 			if c.method != "" {
 				req = serviceRequest(c.method)
 			}
 			if c.prepare != nil {
-				c.prepare(r, req)
+				c.prepare(env, req)
 			}
-			body, _, err := r.do(req)
-			checkAnswer(is, &c, body, err)
+			body, _, err := env.do(req)
+			checkResponse(is, &c, body, err)
 			for range strings.Fields(c.results) {
-				r.outcome()
+				env.outcome()
 			}
-			is.Equal(r.pool.results(), c.results)
-			is.Equal(count(t1)+" "+count(t2), c.sends)
+			is.Equal(env.pool.results(), c.results)
+			is.Equal(workCount(t1)+" "+workCount(t2), c.sends)
 			if c.run == api.NotRun {
 				_, n1 := t1.counts()
 				_, n2 := t2.counts()
 				is.Equal(n1+n2, 0) // "not run" must be true
 			}
 			if req.NonIdempotent {
-				is.True(len(t1.work())+len(t2.work()) <= 1) // sent at most once
+				is.True(len(t1.workRequests())+len(t2.workRequests()) <= 1) // sent at most once
 			}
 		})
 	}
 }
 
-func checkAnswer(is *is.I, c *faultCase, body string, err error) {
+func checkResponse(is *is.I, c *faultCase, body string, err error) {
 	is.Helper()
 	if c.code == "" {
 		is.NoErr(err)
@@ -291,21 +307,21 @@
 	is.True(errors.As(err, &refusal))
 	is.Equal(refusal.Code, c.code)
 	is.Equal(refusal.Run, c.run)
-	is.Equal(body != "", c.broken)
+	is.Equal(body != "", c.failsAfterStart)
 }
 
-func faultRig(t *testing.T, c *faultCase) (*rig, *fakeTarget, *fakeTarget) {
-	t1, t2 := deadAddress(t), &fakeTarget{name: "t2"}
+func newFaultEnv(t *testing.T, c *faultCase) (*testEnv, *fakeTarget, *fakeTarget) {
+	t1, t2 := refusingTarget(t), &fakeTarget{name: "t2"}
 	targets := []*fakeTarget{t1}
-	if c.first != nil {
-		t1 = newTarget(t, "t1", numbered(c.first))
+	if c.t1Script != nil {
+		t1 = newTarget(t, "t1", runScript(c.t1Script))
 		targets[0] = t1
 	}
-	if c.second != nil {
-		t2 = newTarget(t, "t2", numbered(c.second))
+	if c.t2Script != nil {
+		t2 = newTarget(t, "t2", runScript(c.t2Script))
 		targets = append(targets, t2)
 	}
-	return newRig(t, targets...), t1, t2
+	return newTestEnv(t, targets...), t1, t2
 }
 
-func count(f *fakeTarget) string { return string(rune('0' + len(f.work()))) }
+func workCount(f *fakeTarget) string { return string(rune('0' + len(f.workRequests()))) }
--- a/plugin/dispatch/health.go
+++ b/plugin/dispatch/health.go
@@ -8,26 +8,28 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// health remembers how the last work on each target ended and what the target
-// said about itself, and reports only changes: under load a dead target would
-// fill the timeline with one event per request. It decides nothing; admission is
-// the scheduler's.
-type health struct {
+// healthTracker stores the last outcome and the last reported state of each target
+// and returns only changes: otherwise a failed target under load would fill the
+// timeline with one event per request. It is used for events and logs only; the
+// scheduler does admission.
+type healthTracker struct {
 	mu      sync.Mutex
 	targets map[string]targetHealth
 }
 
+// targetHealth is the last known state of a target.
 type targetHealth struct {
 	failing bool
 	warmth  api.Warmth
 	boot    uint64
 }
 
-func newHealth() *health { return &health{targets: map[string]targetHealth{}} }
+func newHealthTracker() *healthTracker { return &healthTracker{targets: map[string]targetHealth{}} }
 
-// observe notes an outcome and returns what changed, in words; nil if nothing.
-// Cancelled work and work that did not start say nothing about the target.
-func (h *health) observe(target string, o api.Outcome) []string {
+// observe stores an outcome and returns the changes as event steps, or nil if there
+// are none. It ignores cancelled attempts and attempts that were not started,
+// because they do not depend on the target's health.
+func (h *healthTracker) observe(target string, o api.Outcome) []string {
 	if o.Result != api.ResultOK && o.Result != api.ResultFailed {
 		return nil
 	}
@@ -48,12 +50,13 @@
 	return now.changes(old)
 }
 
-// changes describes a step from old to now. The first warmth and boot number of
-// a target are news only if it is cold.
+// changes returns the differences from old to now as event steps. The first known
+// warmth counts as a change only if it is cold, the first known boot number does
+// not count.
 func (now targetHealth) changes(old targetHealth) []string {
 	var out []string
 	if now.failing != old.failing {
-		out = append(out, word(now.failing, "failing", "answering"))
+		out = append(out, choose(now.failing, "failing", "answering"))
 	}
 	if now.warmth != old.warmth && (old.warmth != api.WarmthUnknown || now.warmth == api.WarmthCold) {
 		out = append(out, string(now.warmth))
@@ -64,15 +67,16 @@
 	return out
 }
 
-func word(cond bool, yes, no string) string {
+// choose returns yes if cond is true, otherwise no.
+func choose(cond bool, yes, no string) string {
 	if cond {
 		return yes
 	}
 	return no
 }
 
-// keep forgets the targets that a new view no longer has.
-func (h *health) keep(v *api.View) {
+// removeMissing deletes the state of targets that are not in the view.
+func (h *healthTracker) removeMissing(v *api.View) {
 	x := newIndex(v)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,15 +87,16 @@
 	}
 }
 
-// observe records the changes of a target's state as events.
-func (d *Dispatcher) observe(s *slot, o api.Outcome, detail string) {
-	for _, step := range d.health.observe(s.grant.Target, o) {
+// recordHealth records changes of a target's health as events. Changes between failing
+// and answering are also logged.
+func (d *Dispatcher) recordHealth(a *attempt, o api.Outcome, detail string) {
+	for _, step := range d.health.observe(a.grant.Target, o) {
 		d.events.Record(kernel.Event{
-			Kind: "target", Step: step, Pool: s.call.req.Pool, Target: s.grant.Target,
-			Epoch: s.grant.Epoch, Request: s.call.id, Detail: detail,
+			Kind: "target", Step: step, Pool: a.call.req.Pool, Target: a.grant.Target,
+			Epoch: a.grant.Epoch, Request: a.call.id, Detail: detail,
 		})
 		if step == "failing" || step == "answering" {
-			d.log.Info("target "+step, "step", "dispatch", "peer", s.grant.Target, "detail", detail)
+			d.log.Info("target "+step, "step", "dispatch", "peer", a.grant.Target, "detail", detail)
 		}
 	}
 }
--- a/plugin/dispatch/index.go
+++ b/plugin/dispatch/index.go
@@ -5,8 +5,8 @@
 	"nutmegrouter/internal/api"
 )
 
-// index finds pools and targets of one view by name. A fleet has thousands of
-// targets, so a linear search per request costs too much.
+// index maps names to the pools and targets of one view. A fleet has thousands of
+// targets, too many for a linear search per request.
 type index struct {
 	view    *api.View
 	pools   map[string]fleetconfig.Pool
@@ -27,8 +27,9 @@
 	return x
 }
 
-// current returns the index of the newest view.
-func (d *Dispatcher) current() *index {
+// currentIndex returns the index of the newest view. It is rebuilt when the view
+// has changed.
+func (d *Dispatcher) currentIndex() *index {
 	v := d.fleet.View()
 	if x := d.index.Load(); x != nil && x.view == v {
 		return x
@@ -38,25 +39,26 @@
 	return x
 }
 
-// permit tells whether a request may start on the target at this moment.
-func (d *Dispatcher) permit(target string) error {
+// checkTarget returns an error if no request may be sent to the target now: without
+// a valid lease, to an unknown target, or to a data centre that is out of service.
+func (d *Dispatcher) checkTarget(target string) error {
 	if !d.lease.Valid() {
 		return errNoLease
 	}
-	x := d.current()
+	x := d.currentIndex()
 	t, ok := x.targets[target]
 	if !ok {
 		return errTargetUnknown
 	}
 	if x.view.Out[t.DataCentre] {
-		return errTargetOut
+		return errDataCentreOut
 	}
 	return nil
 }
 
-// permitResume tells whether a running stream may be resumed. Running work
-// completes while its data centre is out, so only the lease counts.
-func (d *Dispatcher) permitResume() error {
+// checkResume returns an error if streams must not be resumed. Running streams
+// complete while their data centre is out of service, so it checks only the lease.
+func (d *Dispatcher) checkResume() error {
 	if !d.lease.Valid() {
 		return errNoLease
 	}
--- a/plugin/dispatch/library_test.go
+++ b/plugin/dispatch/library_test.go
@@ -14,12 +14,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// These tests hold fasthttp to the behaviour noted in section 13, on which the
-// router's design rests. One that fails after an upgrade calls for a new look at
-// the code that it names, not for a new expectation alone.
+// These tests check the behaviour of fasthttp, described in section 13, on which the
+// router depends. If one fails after an upgrade, review the code that it names before
+// changing the expectation.
 
-// serveLibrary runs a bare fasthttp server.
-func serveLibrary(t testing.TB, s *fasthttp.Server) string {
+// serveFasthttp runs a fasthttp server without the router and returns its address.
+func serveFasthttp(t testing.TB, s *fasthttp.Server) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
@@ -29,7 +29,7 @@
 	return ln.Addr().String()
 }
 
-func rawGet(t *testing.T, addr string) string {
+func httpGet(t *testing.T, addr string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	must(t, err)
@@ -42,27 +42,27 @@
 	return string(b)
 }
 
-type failing struct{ n int }
+type failingReader struct{ n int }
 
-func (f *failing) Read(p []byte) (int, error) {
+func (f *failingReader) Read(p []byte) (int, error) {
 	if f.n++; f.n > 1 {
-		return 0, errors.New("target died")
+		return 0, errors.New("target failed")
 	}
 	return copy(p, "part"), nil
 }
 
-// Guards plugin/entry's body: a stream writer that stops early ends the response
-// as if it were whole, a reader that returns an error does not.
-func TestLibraryBodyStream(t *testing.T) {
+// Guards the response body of plugin/entry: a stream writer that stops early ends the
+// response as if it were complete, a reader that returns an error does not.
+func TestFasthttpBodyStream(t *testing.T) {
 	is := is.New(t)
-	writer := serveLibrary(t, &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
+	writer := serveFasthttp(t, &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
 		ctx.SetBodyStreamWriter(func(w *bufio.Writer) { w.WriteString("part") })
 	}})
-	is.True(strings.HasSuffix(rawGet(t, writer), "\r\n0\r\n\r\n"))
-	reader := serveLibrary(t, &fasthttp.Server{Logger: noLog{}, Handler: func(ctx *fasthttp.RequestCtx) {
-		ctx.SetBodyStream(&failing{}, -1)
+	is.True(strings.HasSuffix(httpGet(t, writer), "\r\n0\r\n\r\n"))
+	reader := serveFasthttp(t, &fasthttp.Server{Logger: noLog{}, Handler: func(ctx *fasthttp.RequestCtx) {
+		ctx.SetBodyStream(&failingReader{}, -1)
 	}})
-	got := rawGet(t, reader)
+	got := httpGet(t, reader)
 	is.True(strings.Contains(got, "4\r\npart\r\n"))
 	is.True(!strings.HasSuffix(got, "0\r\n\r\n"))
 }
@@ -71,40 +71,40 @@
 
 func (noLog) Printf(string, ...any) {}
 
-// Guards connPool: fasthttp's client repeats a GET by itself, so the router
-// keeps connections and counts sends on its own.
-func TestLibraryRetries(t *testing.T) {
+// Guards targetconn.Pool: fasthttp's client retries a GET by itself, so the router
+// manages connections and counts sends itself.
+func TestFasthttpRetries(t *testing.T) {
 	is := is.New(t)
-	target := newTarget(t, "t1", numbered(closed))
+	target := newTarget(t, "t1", runScript(closeConn))
 	c := fasthttp.Client{}
 	_, _, err := c.Get(nil, "http://"+target.addr+"/")
 	is.True(err != nil)
-	is.True(len(target.work()) > 1)
+	is.True(len(target.workRequests()) > 1)
 
-	r := newRig(t, target)
-	before := len(target.work())
-	_, f := r.d.open(t.Context(), &message{method: "GET", path: "/", host: target.addr}, true, farBounds(), nil)
+	env := newTestEnv(t, target)
+	before := len(target.workRequests())
+	_, f := env.d.open(t.Context(), &targetRequest{method: "GET", path: "/", host: target.addr}, true, unreachedLimits(), nil)
 	is.True(f != nil)
-	is.Equal(len(target.work()), before+1) // the router's own exchange sends once
+	is.Equal(len(target.workRequests()), before+1) // the router's exchange sends once
 }
 
-func farBounds() bounds {
+func unreachedLimits() timeLimits {
 	end := time.Now().Add(waitLimit)
-	return bounds{silence: waitLimit, head: end, hard: end}
+	return timeLimits{ioTimeout: waitLimit, headerDeadline: end, deadline: end}
 }
 
-// Guards targetConn's deadlines: fasthttp's read timeout bounds a whole streamed
-// body, so a long stream that keeps moving would be cut.
-func TestLibraryReadTimeout(t *testing.T) {
+// Guards the deadlines of targetconn.Conn: fasthttp's read timeout covers a whole
+// streamed body, so it would end a long stream although events keep arriving.
+func TestFasthttpReadTimeout(t *testing.T) {
 	is := is.New(t)
 	const limit, events = 100 * time.Millisecond, 15
-	target := newTarget(t, "t1", numbered(func(w *wire, _ *seen, _ int) {
+	target := newTarget(t, "t1", runScript(func(w *scriptConn, _ *receivedRequest, _ int) {
 		w.stream("s1")
 		for n := 1; n <= events; n++ {
 			time.Sleep(limit / 5)
 			w.events(n, n)
 		}
-		w.done(events + 1)
+		w.endStream(events + 1)
 	}))
 	c := fasthttp.Client{ReadTimeout: limit, StreamResponseBody: true}
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -112,16 +112,16 @@
 	req.Header.SetMethod("POST")
 	is.NoErr(c.Do(req, resp))
 	_, err := io.ReadAll(resp.BodyStream())
-	is.True(err != nil) // the client cut a stream that moved all the time
+	is.True(err != nil) // the client ended a stream whose events kept arriving
 
-	r := newRig(t, target)
-	r.want(engineRequest(), allEvents(events)) // the router's deadline is per read
+	env := newTestEnv(t, target)
+	env.wantBody(engineRequest(), wholeStreamText(events)) // the router's deadline is per read
 }
 
-// Guards exchange.read: a truncated body is an unexpected EOF with a length or
-// chunks, but a plain EOF without either.
-func TestLibraryTruncation(t *testing.T) {
-	for head, looksWhole := range map[string]bool{
+// Guards exchange.read: a truncated body ends in io.ErrUnexpectedEOF if it has a
+// length or chunks, and in io.EOF if it has neither.
+func TestFasthttpTruncation(t *testing.T) {
+	for head, looksComplete := range map[string]bool{
 		"Content-Length: 99\r\n":         false,
 		"Transfer-Encoding: chunked\r\n": false,
 		"":                               true,
@@ -131,17 +131,17 @@
 		raw := "HTTP/1.1 200 OK\r\n" + head + "\r\n4\r\nbody\r\n"
 		is.NoErr(resp.ReadLimitBody(bufio.NewReader(strings.NewReader(raw)), 0))
 		_, err := io.Copy(io.Discard, struct{ io.Reader }{resp.BodyStream()})
-		is.Equal(err == nil, looksWhole)                           // by the head's framing
-		is.Equal(errors.Is(err, io.ErrUnexpectedEOF), !looksWhole) // as above
+		is.Equal(err == nil, looksComplete)                           // depends on the framing
+		is.Equal(errors.Is(err, io.ErrUnexpectedEOF), !looksComplete) // see above
 	}
 }
 
-// Guards callerConn.watch: fasthttp's context does not end when the caller
-// closes the connection.
-func TestLibraryDisconnect(t *testing.T) {
+// Guards callerconn.Conn, which detects disconnected callers: fasthttp's context is not
+// cancelled when the caller closes the connection.
+func TestFasthttpDisconnect(t *testing.T) {
 	is := is.New(t)
 	noticed, entered, leave := make(chan bool, 1), make(chan struct{}), make(chan struct{})
-	addr := serveLibrary(t, &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
+	addr := serveFasthttp(t, &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
 		close(entered)
 		<-leave
 		select {
@@ -161,17 +161,17 @@
 	is.Equal(receive(t, noticed), false)
 }
 
-// Guards Server.Drain: fasthttp's own shutdown waits for connections that have
-// served nothing for as long as they may be starting a request.
-func TestLibraryShutdown(t *testing.T) {
+// Guards entry.Server.Drain: fasthttp's own shutdown waits for connections on which no
+// request has arrived yet.
+func TestFasthttpShutdown(t *testing.T) {
 	is := is.New(t)
 	s := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {}}
-	addr := serveLibrary(t, s)
+	addr := serveFasthttp(t, s)
 	c, err := net.Dial("tcp", addr)
 	is.NoErr(err)
 	defer c.Close()
 	eventually(t, "accepted", func() bool { return s.GetOpenConnectionsCount() == 1 })
 	ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer stop()
-	is.Equal(s.ShutdownWithContext(ctx), context.DeadlineExceeded) // an unused connection holds it up
+	is.Equal(s.ShutdownWithContext(ctx), context.DeadlineExceeded) // it waits for the unused connection
 }
--- a/plugin/dispatch/plain.go
+++ b/plugin/dispatch/plain.go
@@ -10,151 +10,161 @@
 	"nutmegrouter/internal/api"
 )
 
-// bufferLimit bounds the answers that are read whole before the caller gets the
-// head. Until then a failed target can be replaced by another one.
-const bufferLimit = 256 << 10 // bytes
-
-// plainAnswer is an answer that is not an engine's event stream.
-type plainAnswer struct {
-	call   *call
-	slot   *slot
-	x      *exchange
-	id     string // under which an engine can cancel the work, "" = none
-	head   api.AnswerHead
-	prefix []byte // bytes read before Do returned
-	sample []byte // start of the body, kept for usage and claims
-	seen   int    // body bytes read
-	err    error  // end of the answer, set once
+// maxBufferedBytes is the longest body that is read completely before the caller
+// receives the response header. Until then a failed target can be replaced by
+// another one.
+const maxBufferedBytes = 256 << 10 // bytes
+
+// plainResponse is a response that is not the event stream of an engine.
+type plainResponse struct {
+	call          *call
+	attempt       *attempt
+	exchange      *exchange
+	streamID      string // for a cancel at the engine, "" = none
+	head          api.AnswerHead
+	buffered      []byte // bytes read ahead, not yet delivered
+	bodyStart     []byte // first bytes of the body, up to maxBufferedBytes, for usage and claims
+	receivedBytes int    // of the body
+	finalErr      error  // returned by Read after buffered; set once, when the response ends
 }
 
-// openPlain reads a short answer whole and passes a long one through.
-func (c *call) openPlain(s *slot, x *exchange, st headState) (api.Answer, error) {
+// openPlain returns a response after reading a short body completely. A long body is
+// passed through as it arrives.
+func (c *call) openPlain(a *attempt, x *exchange, state targetState) (api.Answer, error) {
 	length := int64(x.resp.Header.ContentLength())
 	if length < 0 {
 		length = -1
 	}
-	a := &plainAnswer{call: c, slot: s, x: x, id: st.streamID, head: c.answerHead(s, x, length)}
+	r := &plainResponse{call: c, attempt: a, exchange: x, streamID: state.streamID, head: c.responseHeader(a, x, length)}
 	if x.body == nil {
-		a.head.Length = length
-		a.finish()
-		return a, nil
+		r.head.Length = length
+		r.complete()
+		return r, nil
 	}
-	if !a.buffered() {
-		return a, nil
+	if !r.shouldReadAhead() {
+		return r, nil
 	}
-	if err := a.readAhead(); err != nil {
-		return nil, a.failFirst(err)
+	if err := r.readAhead(); err != nil {
+		return nil, r.failBeforeHeader(err)
 	}
-	return a, nil
+	return r, nil
 }
 
-// buffered reports whether the body is read before the caller gets the head.
-// A body of unknown length may be a stream, so only JSON is waited for.
-func (a *plainAnswer) buffered() bool {
-	if n := a.x.resp.Header.ContentLength(); n >= 0 {
-		return n <= bufferLimit
+// shouldReadAhead reports whether the body is read before the caller receives the
+// header. A body of unknown length may be a stream, so it is read ahead only if it is
+// JSON.
+func (r *plainResponse) shouldReadAhead() bool {
+	if n := r.exchange.resp.Header.ContentLength(); n >= 0 {
+		return n <= maxBufferedBytes
 	}
-	return mediaType(string(a.x.resp.Header.ContentType())) == "application/json"
+	return mediaType(string(r.exchange.resp.Header.ContentType())) == "application/json"
 }
 
-// readAhead reads up to the buffer's limit.
-func (a *plainAnswer) readAhead() error {
+// readAhead reads the body into buffered, up to one byte above maxBufferedBytes. The
+// response is complete if the body ends there.
+func (r *plainResponse) readAhead() error {
 	var b bytes.Buffer
-	if a.head.Length > 0 {
-		b.Grow(int(a.head.Length) + bytes.MinRead) // one more read finds the end
+	if r.head.Length > 0 {
+		b.Grow(int(r.head.Length) + bytes.MinRead) // the last Read, which returns io.EOF, needs free space, too
 	}
-	n, err := io.CopyN(&b, readFunc(a.source), bufferLimit+1)
-	a.prefix = b.Bytes()
+	n, err := io.CopyN(&b, readFunc(r.readTarget), maxBufferedBytes+1)
+	r.buffered = b.Bytes()
 	if err == io.EOF {
-		a.finish()
-		a.head.Length = n
+		r.complete()
+		r.head.Length = n
 		return nil
 	}
 	return err
 }
 
-// source reads from the target and keeps the start of the body.
-func (a *plainAnswer) source(p []byte) (int, error) {
-	n, err := a.x.read(p)
-	a.seen += n
-	if room := bufferLimit - len(a.sample); room > 0 && a.keepsSample() {
-		a.sample = append(a.sample, p[:min(n, room)]...)
+// readTarget reads from the target's body and copies its start to bodyStart.
+func (r *plainResponse) readTarget(p []byte) (int, error) {
+	n, err := r.exchange.read(p)
+	r.receivedBytes += n
+	if room := maxBufferedBytes - len(r.bodyStart); room > 0 && r.needsBodyStart() {
+		r.bodyStart = append(r.bodyStart, p[:min(n, room)]...)
 	}
 	return n, err
 }
 
-func (a *plainAnswer) keepsSample() bool {
-	return a.call.claimed || a.call.pool.Kind == fleetconfig.KindEngine
+// needsBodyStart reports whether the start of the body is needed, for the outcome of a
+// claim or for the token usage of an engine.
+func (r *plainResponse) needsBodyStart() bool {
+	return r.call.claimed || r.call.pool.Kind == fleetconfig.KindEngine
 }
 
-// failFirst gives up an answer of which the caller has received nothing.
-func (a *plainAnswer) failFirst(err error) error {
-	f := &fault{step: "body", cause: err, sent: a.x.conn.Sent}
-	b := bounds{head: a.x.conn.Hard(), hard: a.x.conn.Hard()}
-	ended := a.x.conn.Failure() == io.EOF
-	a.x.close(false)
-	f.classify(b)
-	if ended || errors.Is(err, io.ErrUnexpectedEOF) {
-		f.code = codeTruncated
-	}
-	a.call.cancelStream(a.slot.grant.Address, a.id, a.call.ending(a.slot, f))
+// failBeforeHeader ends a response of which the caller has received nothing, and
+// returns its fault.
+func (r *plainResponse) failBeforeHeader(err error) error {
+	f := &fault{step: "body", cause: err, sentBytes: r.exchange.conn.Sent}
+	limits := timeLimits{headerDeadline: r.exchange.conn.Hard(), deadline: r.exchange.conn.Hard()}
+	connClosed := r.exchange.conn.Failure() == io.EOF
+	r.exchange.close(false)
+	f.classify(limits)
+	if connClosed || errors.Is(err, io.ErrUnexpectedEOF) {
+		f.code = codeAnswerTruncated
+	}
+	r.call.cancelStream(r.attempt.grant.Address, r.streamID, r.call.prepareFailure(r.attempt, f))
 	return f
 }
 
-// Head implements api.Answer.
-func (a *plainAnswer) Head() api.AnswerHead { return a.head }
+// Head implements api.Answer. The length is that of the body, or -1 if unknown.
+func (r *plainResponse) Head() api.AnswerHead { return r.head }
 
-// Read implements api.Answer.
-func (a *plainAnswer) Read(p []byte) (int, error) {
-	if len(a.prefix) > 0 {
-		n := copy(p, a.prefix)
-		a.prefix = a.prefix[n:]
+// Read implements api.Answer. For a truncated body it returns an *api.Refusal, and an
+// error that the caller closed the connection if the request was cancelled.
+func (r *plainResponse) Read(p []byte) (int, error) {
+	if len(r.buffered) > 0 {
+		n := copy(p, r.buffered)
+		r.buffered = r.buffered[n:]
 		return n, nil
 	}
-	if a.err != nil {
-		return 0, a.err
+	if r.finalErr != nil {
+		return 0, r.finalErr
 	}
-	n, err := a.source(p)
+	n, err := r.readTarget(p)
 	switch {
 	case err == io.EOF:
-		a.finish()
+		r.complete()
 	case err != nil:
-		a.broken(err)
+		r.fail(err)
 	}
 	if n > 0 {
 		return n, nil
 	}
-	return 0, a.err
+	return 0, r.finalErr
 }
 
-// finish ends a whole answer.
-func (a *plainAnswer) finish() {
-	a.err = io.EOF
-	a.x.close(true)
-	a.slot.done(resultOf(a.head.Status), a.cost())
-	a.settle()
-	a.call.cancel()
+// complete ends a response whose body has arrived completely.
+func (r *plainResponse) complete() {
+	r.finalErr = io.EOF
+	r.exchange.close(true)
+	r.attempt.finish(resultForStatus(r.head.Status), r.cost())
+	r.settle()
+	r.call.cancel()
 }
 
-// settle stores the outcome of a claimed request before the caller gets the
-// end of the answer, so that a resend finds it.
-func (a *plainAnswer) settle() {
-	if !a.call.claimed {
+// settle stores the outcome of a claimed request before the caller receives the end
+// of the response, so that a resend receives it.
+func (r *plainResponse) settle() {
+	if !r.call.claimed {
 		return
 	}
-	a.call.settle(outcome(a.head, a.sample, a.seen))
+	r.call.settle(claimOutcome(r.head, r.bodyStart, r.receivedBytes))
 }
 
-func (a *plainAnswer) cost() float64 {
-	if a.call.pool.Kind != fleetconfig.KindEngine {
-		return a.slot.elapsed()
+// cost returns the cost of a complete response in cost units, 0 if unknown.
+func (r *plainResponse) cost() float64 {
+	if r.call.pool.Kind != fleetconfig.KindEngine {
+		return r.attempt.elapsedMs()
 	}
-	cost, _ := usageCost(a.sample)
+	cost, _ := usageCost(r.bodyStart)
 	return cost
 }
 
-// resultOf tells whether a whole answer was the target's refusal of work.
-func resultOf(status int) api.Result {
+// resultForStatus returns the result of an attempt with a complete response. The
+// statuses by which targets refuse work count as failed.
+func resultForStatus(status int) api.Result {
 	switch status {
 	case 429, 502, 503, 504:
 		return api.ResultFailed
@@ -162,42 +172,44 @@
 	return api.ResultOK
 }
 
-// broken ends an answer that is not whole after the caller got its start.
-func (a *plainAnswer) broken(cause error) {
+// fail ends an incomplete response whose start the caller has received. Later reads
+// return a refusal, or errCallerDisconnected.
+func (r *plainResponse) fail(cause error) {
 	result := api.ResultFailed
-	if a.call.workContext().Err() != nil {
-		result, a.err = api.ResultCancelled, errGone
+	if r.call.workContext().Err() != nil {
+		result, r.finalErr = api.ResultCancelled, errCallerDisconnected
 	} else {
-		a.call.stats.broken.Inc()
-		a.call.d.conns.Drop(a.slot.grant.Address)
-		a.slot.detail = cause.Error()
-		a.call.d.record("answer", "broken", a.call, a.slot.grant.Target, cause.Error())
-		a.err = &api.Refusal{
-			Code: codeTruncated, Status: 502, Run: api.RunUnknown, Step: "answer",
-			Peer: a.slot.grant.Target, Message: cause.Error(),
+		r.call.stats.brokenResponses.Inc()
+		r.call.d.conns.Drop(r.attempt.grant.Address)
+		r.attempt.failureDetail = cause.Error()
+		r.call.d.recordEvent("answer", "broken", r.call, r.attempt.grant.Target, cause.Error())
+		r.finalErr = &api.Refusal{
+			Code: codeAnswerTruncated, Status: 502, Run: api.RunUnknown, Step: "answer",
+			Peer: r.attempt.grant.Target, Message: cause.Error(),
 		}
 	}
-	a.x.close(false)
-	cost := a.call.serviceCost(a.slot)
-	a.call.cancelStream(a.slot.grant.Address, a.id, func() { a.slot.done(result, cost) })
-	a.call.cancel()
+	r.exchange.close(false)
+	cost := r.call.serviceCost(r.attempt)
+	r.call.cancelStream(r.attempt.grant.Address, r.streamID, func() { r.attempt.finish(result, cost) })
+	r.call.cancel()
 }
 
-// Close implements api.Answer. An answer under a claim is read to its end in
-// the background, so that a resend receives the stored outcome.
-func (a *plainAnswer) Close() error {
-	if a.err != nil {
+// Close implements api.Answer. It cancels an incomplete response, except one of a
+// plain service under a claim: that is read to its end in the background, so that a
+// resend receives the stored outcome.
+func (r *plainResponse) Close() error {
+	if r.finalErr != nil {
 		return nil
 	}
-	if !a.call.claimed || a.call.workContext() == a.call.ctx {
-		a.call.cancel()
-		a.broken(errGone)
+	if !r.call.claimed || r.call.workContext() == r.call.ctx {
+		r.call.cancel()
+		r.fail(errCallerDisconnected)
 		return nil
 	}
-	a.call.d.background.Add(1)
+	r.call.d.background.Add(1)
 	go func() {
-		defer a.call.d.background.Done()
-		io.Copy(io.Discard, a) //nolint:errcheck // the outcome is settled or stays unknown
+		defer r.call.d.background.Done()
+		io.Copy(io.Discard, r) //nolint:errcheck // the outcome is settled or stays unknown
 	}()
 	return nil
 }
--- a/plugin/dispatch/resume.go
+++ b/plugin/dispatch/resume.go
@@ -11,34 +11,34 @@
 	"nutmegrouter/internal/sse"
 )
 
-// Bounds of resumes and cancels.
+// Limits of resumes and cancels.
 const (
-	maxResumes    = 7                     // in a row without a delivered event; about 3 s, the time of a takeover
+	maxResumes    = 7                     // in a row without a delivered event; with backoff about 3 s, the time of a takeover
 	resumeBackoff = 50 * time.Millisecond // doubled for each further try
-	cancelLimit   = 2 * time.Second       // a cancel without an answer is given up
+	cancelTimeout = 2 * time.Second       // of one cancel request
 )
 
 var errNotResumable = errors.New("the engine cannot resume the stream")
 
-// resume reopens a broken stream after the last delivered event. It is the same
-// request again, so a non-idempotent one is never resumed: an engine that knows
-// no resume would run it a second time.
-func (a *eventAnswer) resume(cause error) bool {
-	a.closeExchange()
-	if a.call.req.NonIdempotent || a.streamID == "" || !a.order.resumable() {
+// resume reopens a broken stream after the last delivered event and reports
+// whether it succeeded. It sends the request again, so a non-idempotent one is never
+// resumed: an engine without support for resume would run it a second time.
+func (r *streamResponse) resume(cause error) bool {
+	r.closeExchange()
+	if r.call.req.NonIdempotent || r.streamID == "" || !r.sequencer.resumable() {
 		return false
 	}
-	if a.progress {
-		a.resumes, a.progress = 0, false
+	if r.deliveredSinceResume {
+		r.resumesWithoutProgress, r.deliveredSinceResume = 0, false
 	}
-	for a.resumes < maxResumes && time.Now().Before(a.hard) && a.call.ctx.Err() == nil {
-		if a.resumes > 0 && !a.call.sleep(resumeBackoff<<(a.resumes-1)) {
+	for r.resumesWithoutProgress < maxResumes && time.Now().Before(r.deadline) && r.call.ctx.Err() == nil {
+		if r.resumesWithoutProgress > 0 && !r.call.sleep(resumeBackoff<<(r.resumesWithoutProgress-1)) {
 			return false
 		}
-		a.resumes++
-		a.call.stats.resumes.Inc()
-		err := a.reopen()
-		a.call.d.record("resume", "stream", a.call, a.slot.grant.Target, resumeDetail(cause, a.order.last, err))
+		r.resumesWithoutProgress++
+		r.call.stats.resumes.Inc()
+		err := r.resumeOnce()
+		r.call.d.recordEvent("resume", "stream", r.call, r.attempt.grant.Target, resumeDetail(cause, r.sequencer.lastDelivered, err))
 		if err == nil {
 			return true
 		}
@@ -49,6 +49,7 @@
 	return false
 }
 
+// resumeDetail describes a resume for the timeline; err is its failure or nil.
 func resumeDetail(cause error, last uint64, err error) string {
 	s := "after event " + strconv.FormatUint(last, 10) + ": " + cause.Error()
 	if err != nil {
@@ -57,40 +58,42 @@
 	return s
 }
 
-// reopen makes one try to resume.
-func (a *eventAnswer) reopen() error {
-	c := a.call
-	m := c.message(a.slot.grant)
-	m.extra = [][2]string{
-		{"X-Resume-Id", a.streamID},
-		{"Last-Event-ID", strconv.FormatUint(a.order.last, 10)},
+// resumeOnce makes one attempt to resume. The error is errNotResumable if further
+// ones cannot succeed.
+func (r *streamResponse) resumeOnce() error {
+	c := r.call
+	m := c.targetRequest(r.attempt.grant)
+	m.extraHeaders = [][2]string{
+		{"X-Resume-Id", r.streamID},
+		{"Last-Event-ID", strconv.FormatUint(r.sequencer.lastDelivered, 10)},
 	}
-	b := bounds{silence: c.pool.SilenceLimit(), head: a.hard, hard: a.hard}
-	x, f := c.d.open(c.ctx, m, true, b, c.d.permitResume)
+	limits := timeLimits{ioTimeout: c.pool.SilenceLimit(), headerDeadline: r.deadline, deadline: r.deadline}
+	x, f := c.d.open(c.ctx, m, true, limits, c.d.checkResume)
 	if f != nil {
 		return f
 	}
-	if err := a.sameStream(x); err != nil {
+	if err := r.checkResumed(x); err != nil {
 		x.close(false)
 		return err
 	}
-	a.x = x
-	a.events = sse.NewReader(readFunc(x.read), c.d.answers)
-	a.order.restart()
-	a.lastSeen = time.Now()
+	r.exchange = x
+	r.reader = sse.NewReader(readFunc(x.read), c.d.eventMemory)
+	r.sequencer.dropEarly()
+	r.lastEventAt = time.Now()
 	return nil
 }
 
-// sameStream checks that the engine resumed the stream. One that began a new
-// stream instead would send another answer, so that stream is cancelled.
-func (a *eventAnswer) sameStream(x *exchange) error {
-	status, st := x.resp.StatusCode(), x.state()
-	if status == fasthttp.StatusOK && st.streamID == a.streamID && isEvents(x) {
-		a.slot.warmth = st.warmth
+// checkResumed returns an error unless the engine resumed the stream. If the engine
+// started a new stream instead, that stream is cancelled, because its events do not
+// continue the interrupted response.
+func (r *streamResponse) checkResumed(x *exchange) error {
+	status, state := x.resp.StatusCode(), x.targetState()
+	if status == fasthttp.StatusOK && state.streamID == r.streamID && isEventStream(x) {
+		r.attempt.warmth = state.warmth
 		return nil
 	}
-	if st.streamID != "" && st.streamID != a.streamID {
-		a.call.cancelStream(a.slot.grant.Address, st.streamID, func() {})
+	if state.streamID != "" && state.streamID != r.streamID {
+		r.call.cancelStream(r.attempt.grant.Address, state.streamID, func() {})
 		return errors.WithMessage(errNotResumable, "it began another stream")
 	}
 	if status == fasthttp.StatusTooManyRequests || status >= fasthttp.StatusInternalServerError {
@@ -99,7 +102,7 @@
 	return errors.WithMessage(errNotResumable, "status "+strconv.Itoa(status))
 }
 
-// sleep waits and reports false if the caller went away meanwhile.
+// sleep waits. It returns false at once if the caller disconnects.
 func (c *call) sleep(wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -111,9 +114,10 @@
 	}
 }
 
-// cancelStream sends the cancel in the background. The slot is freed by done
-// only after the engine answered, because until then it may still be working.
-// Without an id the closed connection has to do.
+// cancelStream cancels a stream at the engine in the background. It calls done,
+// which frees the engine's slot, only after the engine responded or the request
+// failed, because until then the engine may still be working. Without a valid id it
+// calls done at once: closing the connection is then the only signal.
 func (c *call) cancelStream(host, id string, done func()) {
 	if !validStreamID(id) {
 		done()
@@ -124,20 +128,20 @@
 	go func() {
 		defer c.d.background.Done()
 		defer done()
-		ctx, stop := context.WithTimeout(context.Background(), cancelLimit)
-		defer stop()
-		end := time.Now().Add(cancelLimit)
-		m := &message{method: fasthttp.MethodPost, path: "/v1/streams/" + id + "/cancel", host: host}
-		x, f := c.d.open(ctx, m, true, bounds{silence: cancelLimit, head: end, hard: end}, nil)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+		defer cancel()
+		end := time.Now().Add(cancelTimeout)
+		m := &targetRequest{method: fasthttp.MethodPost, path: "/v1/streams/" + id + "/cancel", host: host}
+		x, f := c.d.open(ctx, m, true, timeLimits{ioTimeout: cancelTimeout, headerDeadline: end, deadline: end}, nil)
 		if f != nil {
-			c.d.record("cancel", f.step, c, host, f.Error())
+			c.d.recordEvent("cancel", f.step, c, host, f.Error())
 			return
 		}
 		x.close(false)
 	}()
 }
 
-// validStreamID accepts what can stand in a path without escaping.
+// validStreamID reports whether an id is a valid path segment without escaping.
 func validStreamID(id string) bool {
 	for _, r := range id {
 		ok := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.'
--- a/plugin/dispatch/sequence.go
+++ b/plugin/dispatch/sequence.go
@@ -6,89 +6,92 @@
 	"nutmegrouter/internal/sse"
 )
 
-// maxHeld bounds how many events wait for a missing one before the stream is
-// taken as broken. At 33 ms between events it is about half a second.
-const maxHeld = 16
+// maxEarlyEvents is the number of events that may wait for a missing one before the
+// stream counts as broken. At 33 ms between events that is about half a second.
+const maxEarlyEvents = 16
 
-// verdict is the result of checking one event's number.
+// verdict is the result of checking an event's number.
 type verdict int
 
 const (
-	deliver   verdict = iota // pass on what push returned
-	duplicate                // number was delivered before
-	held                     // an earlier number is missing, kept back
-	broken                   // the missing number did not come, or no number
+	verdictDeliver   verdict = iota // deliver the bytes that push returned
+	verdictDuplicate                // the number was delivered or is waiting
+	verdictEarly                    // an earlier number is missing; the event waits for it
+	verdictBroken                   // missing number did not arrive, or event without a valid number
 )
 
-// sequencer brings the numbered events of one engine stream in order. It is
-// pure. The zero value expects event 1.
+// sequencer restores the order of the numbered events of one engine stream. It does
+// no I/O. The zero value expects event 1.
 type sequencer struct {
-	last     uint64 // newest delivered number
-	numbered bool   // the stream carries numbers
-	plain    bool   // the stream carries none; order cannot be checked
-	held     map[uint64][]byte
+	lastDelivered uint64 // number of the last delivered event
+	numbered      bool   // the events have numbers
+	unnumbered    bool   // the events have no numbers; their order cannot be checked
+	early         map[uint64][]byte
 }
 
-// push checks an event and returns the bytes to deliver now.
+// push checks an event. With verdictDeliver it returns the bytes to deliver now: the
+// event and the early ones that follow it.
 func (q *sequencer) push(e *sse.Event) ([]byte, verdict) {
 	switch {
-	case e.BadID && !q.plain:
-		return nil, broken
+	case e.BadID && !q.unnumbered:
+		return nil, verdictBroken
 	case e.Done():
-		if len(q.held) > 0 || (e.HasID && !q.plain && e.ID > q.last+1) {
-			return nil, broken
+		if len(q.early) > 0 || (e.HasID && !q.unnumbered && e.ID > q.lastDelivered+1) {
+			return nil, verdictBroken
 		}
-		return e.Raw, deliver
-	case e.HasID && !q.plain:
+		return e.Raw, verdictDeliver
+	case e.HasID && !q.unnumbered:
 		q.numbered = true
-		return q.pushNumber(e)
+		return q.pushNumbered(e)
 	case !e.HasData:
-		return e.Raw, deliver // comment or keep-alive
+		return e.Raw, verdictDeliver // comment or keep-alive
 	case q.numbered:
-		return nil, broken
+		return nil, verdictBroken
 	}
-	q.plain = true
-	return e.Raw, deliver
+	q.unnumbered = true
+	return e.Raw, verdictDeliver
 }
 
-func (q *sequencer) pushNumber(e *sse.Event) ([]byte, verdict) {
+// pushNumbered does the work of push for an event with a number.
+func (q *sequencer) pushNumbered(e *sse.Event) ([]byte, verdict) {
 	switch {
-	case e.ID <= q.last:
-		return nil, duplicate
-	case e.ID == q.last+1:
-		q.last++
-		return q.release(e.Raw), deliver
-	case q.held[e.ID] != nil:
-		return nil, duplicate
-	case len(q.held) >= maxHeld:
-		return nil, broken
+	case e.ID <= q.lastDelivered:
+		return nil, verdictDuplicate
+	case e.ID == q.lastDelivered+1:
+		q.lastDelivered++
+		return q.appendConsecutive(e.Raw), verdictDeliver
+	case q.early[e.ID] != nil:
+		return nil, verdictDuplicate
+	case len(q.early) >= maxEarlyEvents:
+		return nil, verdictBroken
 	}
-	if q.held == nil {
-		q.held = map[uint64][]byte{}
+	if q.early == nil {
+		q.early = map[uint64][]byte{}
 	}
-	q.held[e.ID] = bytes.Clone(e.Raw)
-	return nil, held
+	q.early[e.ID] = bytes.Clone(e.Raw)
+	return nil, verdictEarly
 }
 
-// release appends the held events that follow without a gap.
-func (q *sequencer) release(raw []byte) []byte {
-	if len(q.held) == 0 {
+// appendConsecutive appends the early events that follow without a gap to raw.
+func (q *sequencer) appendConsecutive(raw []byte) []byte {
+	if len(q.early) == 0 {
 		return raw
 	}
 	out := bytes.Clone(raw)
 	for {
-		next, ok := q.held[q.last+1]
+		next, ok := q.early[q.lastDelivered+1]
 		if !ok {
 			return out
 		}
-		q.last++
-		delete(q.held, q.last)
+		q.lastDelivered++
+		delete(q.early, q.lastDelivered)
 		out = append(out, next...)
 	}
 }
 
-// restart forgets the held events: a resumed stream sends them again.
-func (q *sequencer) restart() { q.held = nil }
+// dropEarly discards the early events, because a resumed stream sends them again.
+func (q *sequencer) dropEarly() { q.early = nil }
 
-// resumable reports whether the stream can go on after the last number.
-func (q *sequencer) resumable() bool { return q.numbered && !q.plain }
+// resumable reports whether the stream can be resumed after the last delivered
+// number.
+func (q *sequencer) resumable() bool { return q.numbered && !q.unnumbered }
--- a/plugin/dispatch/setup.go
+++ b/plugin/dispatch/setup.go
@@ -1,5 +1,7 @@
-// Package dispatch runs a caller's request on a target: queue, grant, claim,
-// send, retry, resume. It provides api.Dispatcher.
+// Package dispatch proxies a caller's request to a target and returns the target's
+// response. For each request it waits for a grant of the scheduler, claims the
+// idempotency key, sends the request, retries it on failures, resumes interrupted
+// streams and cancels work of disconnected callers. It provides api.Dispatcher.
 package dispatch
 
 import (
@@ -26,11 +28,12 @@
 	})
 }
 
-// answersMost bounds the memory of all events that are read, beyond the first buffer of
-// each stream: sixteen of the largest.
-const answersMost = 16 * sse.MaxEvent // bytes
+// maxEventMemory bounds the memory for reading events, summed over all streams and
+// without the initial buffer of each: sixteen events of the largest size.
+const maxEventMemory = 16 * sse.MaxEvent // bytes
 
-// Dispatcher implements api.Dispatcher. The zero value must be provisioned.
+// Dispatcher implements api.Dispatcher and the kernel's plug-in interfaces. Provision
+// must be called before use.
 type Dispatcher struct {
 	pool    api.Pool
 	lease   api.Lease
@@ -42,18 +45,19 @@
 	events *kernel.Events
 	stats  *stats
 	conns  *targetconn.Pool
-	health *health
+	health *healthTracker
 	index  atomic.Pointer[index]
-	// answers bounds the memory of the events under way.
-	answers *overload.Bytes
+	// eventMemory bounds the memory of the events that are being read.
+	eventMemory *overload.Bytes
 
-	prefix string        // makes request ids unique across restarts
-	serial atomic.Uint64 // counts requests since the start
+	idPrefix   string        // makes request ids unique across restarts
+	lastSerial atomic.Uint64 // number of ids assigned since the start
 
-	background sync.WaitGroup // cancels and claims that outlive their caller
+	background sync.WaitGroup // cancels, settles and reads that continue after the caller's request
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It looks up the services that dispatch depends
+// on and provides api.Dispatcher. It fails if one of them is missing.
 func (d *Dispatcher) Provision(c *kernel.Context) error {
 	var err error
 	if d.pool, err = kernel.Lookup[api.Pool](c); err != nil {
@@ -70,25 +74,25 @@
 	}
 	d.log, d.clock, d.events = c.Log, c.Clock, c.Events
 	d.stats = newStats(c.Metrics)
-	d.answers = overload.NewBytes(answersMost)
-	d.conns, d.health = targetconn.NewPool(targetconn.Options{}), newHealth()
-	d.fleet.OnChange(d.health.keep)
+	d.eventMemory = overload.NewBytes(maxEventMemory)
+	d.conns, d.health = targetconn.NewPool(targetconn.Options{}), newHealthTracker()
+	d.fleet.OnChange(d.health.removeMissing)
 	var boot [6]byte
 	if _, err := rand.Read(boot[:]); err != nil {
 		return err
 	}
-	d.prefix = c.Settings.Instance + "-" + hex.EncodeToString(boot[:])
+	d.idPrefix = c.Settings.Instance + "-" + hex.EncodeToString(boot[:])
 	return kernel.Provide[api.Dispatcher](c, d)
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It starts the duty that closes idle connections.
 func (d *Dispatcher) Start(duties *kernel.Duties) error {
 	duties.Every("dispatch idle connections", targetconn.SweepInterval, func(context.Context) { d.conns.Sweep() })
 	return nil
 }
 
-// Drain implements kernel.Drainer. It waits for cancels and claim outcomes that
-// are still on their way.
+// Drain implements kernel.Drainer. It waits until cancels, settles and reads in the
+// background have finished, or returns the error of ctx if that ends first.
 func (d *Dispatcher) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -103,19 +107,20 @@
 	}
 }
 
-// Cleanup implements kernel.Cleaner.
+// Cleanup implements kernel.Cleaner. It closes the idle connections.
 func (d *Dispatcher) Cleanup() error {
 	d.conns.Close()
 	return nil
 }
 
-// nextID returns a request id that is unique in the fleet. The caller's own
-// X-Request-Id is not, because callers choose it.
+// nextID returns a request id that is unique in the fleet. The X-Request-Id of a
+// caller cannot serve for that, because callers choose it.
 func (d *Dispatcher) nextID() string {
-	return fmt.Sprintf("%s-%d", d.prefix, d.serial.Add(1))
+	return fmt.Sprintf("%s-%d", d.idPrefix, d.lastSerial.Add(1))
 }
 
-func (d *Dispatcher) record(kind, step string, c *call, target, detail string) {
+// recordEvent adds an event of a call to the timeline.
+func (d *Dispatcher) recordEvent(kind, step string, c *call, target, detail string) {
 	d.events.Record(kernel.Event{
 		Kind: kind, Step: step, Pool: c.req.Pool, Workspace: c.req.Workspace,
 		Target: target, Request: c.id, Detail: detail,
--- a/plugin/dispatch/start.go
+++ b/plugin/dispatch/start.go
@@ -12,115 +12,121 @@
 	"nutmegrouter/internal/targetconn"
 )
 
-// start sends the request on a grant and returns the answer once its start is
-// known. Every failure ends the work on the grant.
-func (c *call) start(s *slot) (api.Answer, error) {
-	x, f := c.exchange(s)
+// start sends the request to the granted target and returns the response once its
+// header is known, and its body or first event where that is read ahead. After a
+// failure the outcome of the attempt has been reported, or will be once the target
+// has confirmed the cancellation.
+func (c *call) start(a *attempt) (api.Answer, error) {
+	x, f := c.exchange(a)
 	if f != nil {
-		return nil, c.failed(s, f)
+		return nil, c.reportFailure(a, f)
 	}
-	st := x.state()
-	s.confirm(st)
-	c.stats.head.Update(time.Since(s.sentAt).Seconds())
+	state := x.targetState()
+	a.confirm(state)
+	c.stats.headerSeconds.Update(time.Since(a.sentAt).Seconds())
 	status := x.resp.StatusCode()
 	if status < fasthttp.StatusOK {
 		x.close(false)
-		return nil, c.failed(s, &fault{code: codeFailed, step: "head", status: 502, sent: 1, cause: statusError(status)})
+		return nil, c.reportFailure(a, &fault{code: codeTargetFailed, step: "head", status: 502, sentBytes: 1, cause: statusError(status)})
 	}
-	if c.repeatable(status) {
+	if c.retryableStatus(status) {
 		x.close(false)
-		return nil, c.failed(s, &fault{code: codeFailed, step: "head", status: status, sent: 1, cause: statusError(status)})
+		return nil, c.reportFailure(a, &fault{code: codeTargetFailed, step: "head", status: status, sentBytes: 1, cause: statusError(status)})
 	}
-	if isEvents(x) && c.pool.Kind == fleetconfig.KindEngine {
-		return c.openEvents(s, x, st)
+	if isEventStream(x) && c.pool.Kind == fleetconfig.KindEngine {
+		return c.openStream(a, x, state)
 	}
-	return c.openPlain(s, x, st)
+	return c.openPlain(a, x, state)
 }
 
-// exchange sends the request, once more on a fresh connection if a reused one
-// turned out to be closed by the target.
-func (c *call) exchange(s *slot) (*exchange, *fault) {
-	m, b, ctx := c.message(s.grant), c.bounds(), c.workContext()
-	check := func() error { return c.permitStart(s) }
-	x, f := c.d.open(ctx, m, c.req.NonIdempotent, b, check)
-	if f != nil && f.stale() && !c.req.NonIdempotent && ctx.Err() == nil {
-		c.note(f)
+// exchange sends the request and reads the response header. If the target had
+// closed a reused connection, it sends an idempotent request once more, on a new
+// connection.
+func (c *call) exchange(a *attempt) (*exchange, *fault) {
+	m, limits, ctx := c.targetRequest(a.grant), c.timeLimits(), c.workContext()
+	check := func() error { return c.beginSend(a) }
+	x, f := c.d.open(ctx, m, c.req.NonIdempotent, limits, check)
+	if f != nil && f.staleConnection() && !c.req.NonIdempotent && ctx.Err() == nil {
+		c.countSend(f)
 		c.d.conns.Drop(m.host)
-		x, f = c.d.open(ctx, m, true, b, check)
+		x, f = c.d.open(ctx, m, true, limits, check)
 	}
 	if f != nil {
-		c.note(f)
-		return nil, f.classify(b)
+		c.countSend(f)
+		return nil, f.classify(limits)
 	}
-	c.touched = true
+	c.mayHaveRun = true
 	c.sends++
 	return x, nil
 }
 
-// permitStart is called immediately before the first byte of a request.
-func (c *call) permitStart(s *slot) error {
-	if err := c.d.permit(s.grant.Target); err != nil {
+// beginSend runs immediately before the first byte of a request is written. It
+// returns an error if the request must not be sent.
+func (c *call) beginSend(a *attempt) error {
+	if err := c.d.checkTarget(a.grant.Target); err != nil {
 		return err
 	}
 	c.stats.started.Inc()
-	s.sentAt = time.Now()
+	a.sentAt = time.Now()
 	return nil
 }
 
-// note keeps whether a failed exchange may have reached the target.
-func (c *call) note(f *fault) {
-	if f.sent > 0 {
-		c.touched = true
+// countSend counts a failed exchange as a send if a byte may have reached the
+// target.
+func (c *call) countSend(f *fault) {
+	if f.sentBytes > 0 {
+		c.mayHaveRun = true
 		c.sends++
 	}
 }
 
-// failed ends the work on a grant after a fault.
-func (c *call) failed(s *slot, f *fault) error {
-	c.ending(s, f)()
+// reportFailure reports the outcome of an attempt that failed with f and returns f.
+func (c *call) reportFailure(a *attempt, f *fault) error {
+	c.prepareFailure(a, f)()
 	return f
 }
 
-// ending returns the function that ends the work on a grant after a fault.
-func (c *call) ending(s *slot, f *fault) (done func()) {
-	f.target = s.grant.Target
-	s.detail = f.Error()
-	gone := c.workContext().Err() != nil
-	result, cost := api.ResultFailed, c.serviceCost(s)
+// prepareFailure derives the outcome of an attempt that failed with f. It returns
+// the function that reports the outcome to the scheduler.
+func (c *call) prepareFailure(a *attempt, f *fault) (report func()) {
+	f.target = a.grant.Target
+	a.failureDetail = f.Error()
+	cancelled := c.workContext().Err() != nil
+	result, cost := api.ResultFailed, c.serviceCost(a)
 	switch {
-	case f.sent == 0 && (gone || f.code == codeNotStarted || targetconn.LocalFault(f.cause)):
+	case f.sentBytes == 0 && (cancelled || f.code == codeNotStarted || targetconn.LocalFault(f.cause)):
 		result, cost = api.ResultNotStarted, 0
-	case gone:
+	case cancelled:
 		result = api.ResultCancelled
 	default:
-		c.d.conns.Drop(s.grant.Address)
+		c.d.conns.Drop(a.grant.Address)
 	}
-	return func() { s.done(result, cost) }
+	return func() { a.finish(result, cost) }
 }
 
-// serviceCost returns the cost of a plain service's work; the cost of an
-// engine's work is known only from its usage event.
-func (c *call) serviceCost(s *slot) float64 {
+// serviceCost returns the cost of an attempt on a plain service in milliseconds.
+// It returns 0 for an engine, whose cost is known only from its usage event.
+func (c *call) serviceCost(a *attempt) float64 {
 	if c.pool.Kind == fleetconfig.KindEngine {
 		return 0
 	}
-	return s.elapsed()
+	return a.elapsedMs()
 }
 
-// repeatable reports whether an answer with this status is given up for another
-// attempt: the target refused the work and the request may be repeated. The
-// last allowed attempt passes the answer on.
-func (c *call) repeatable(status int) bool {
+// retryableStatus reports whether a response with this status is dropped and the
+// request is retried: the target refused it, and another send is allowed. The
+// response to the last allowed send is passed on.
+func (c *call) retryableStatus(status int) bool {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusBadGateway, fasthttp.StatusServiceUnavailable:
-		return !c.req.NonIdempotent && c.sends < maxSends && !c.expired()
+		return !c.req.NonIdempotent && c.sends < maxSends && !c.deadlinePassed()
 	}
 	return false
 }
 
-// workContext ends when work on a target must end. A plain service cannot
-// be cancelled, so its work under a claim goes on after the caller went away and
-// a resend receives the stored outcome.
+// workContext returns the context of the exchange with the target. A plain service
+// cannot be cancelled, so a claimed request to one continues after the caller has
+// disconnected, and a resend receives the stored outcome.
 func (c *call) workContext() context.Context {
 	if c.claimed && c.pool.Kind != fleetconfig.KindEngine {
 		return context.WithoutCancel(c.ctx)
@@ -128,25 +134,27 @@
 	return c.ctx
 }
 
-func (c *call) bounds() bounds {
-	hard := time.Now().Add(c.pool.RequestLimit())
-	b := bounds{silence: c.pool.SilenceLimit(), head: hard, hard: hard}
+// timeLimits returns the limits of an exchange that starts now.
+func (c *call) timeLimits() timeLimits {
+	deadline := time.Now().Add(c.pool.RequestLimit())
+	limits := timeLimits{ioTimeout: c.pool.SilenceLimit(), headerDeadline: deadline, deadline: deadline}
 	if c.req.Deadline > 0 {
-		if t := time.Now().Add(c.deadline() - c.d.clock.Now()); t.Before(hard) {
-			b.head = t
+		if t := time.Now().Add(c.deadline() - c.d.clock.Now()); t.Before(deadline) {
+			limits.headerDeadline = t
 		}
 	}
-	return b
+	return limits
 }
 
-func (c *call) message(g api.Grant) *message {
-	return &message{
+// targetRequest returns the request to send to the granted target.
+func (c *call) targetRequest(g api.Grant) *targetRequest {
+	return &targetRequest{
 		method: c.req.Method, path: c.req.Path, host: g.Address,
 		header: c.req.Header, body: c.req.Body,
 	}
 }
 
-func isEvents(x *exchange) bool {
+func isEventStream(x *exchange) bool {
 	return mediaType(string(x.resp.Header.ContentType())) == "text/event-stream"
 }
 
@@ -156,6 +164,7 @@
 	return strings.ToLower(strings.TrimSpace(s))
 }
 
+// statusError is a response status by which a target refused a request.
 type statusError int
 
 // Error implements error.
--- a/plugin/dispatch/stream.go
+++ b/plugin/dispatch/stream.go
@@ -11,185 +11,192 @@
 )
 
 var (
-	// The text does not name the end mark, because callers search for it.
-	errNoDone   = errors.New("the stream ended before its end mark")
-	errSequence = errors.New("events are missing from the stream")
-	errGone     = errors.New("the caller closed the connection")
+	// The text does not contain the end mark, because callers search the stream for it.
+	errNoEndMark          = errors.New("the stream ended before its end mark")
+	errMissingEvents      = errors.New("events are missing from the stream")
+	errCallerDisconnected = errors.New("the caller closed the connection")
 )
 
-// eventAnswer is the stream of an engine. It delivers whole events, each once
-// and in order, resumes a broken stream where the engine can, and ends with
-// io.EOF only after [DONE].
-type eventAnswer struct {
-	call *call
-	slot *slot
-	x    *exchange
-	head api.AnswerHead
-
-	events   *sse.Reader
-	order    sequencer
-	streamID string
-	cost     float64
-	lastSeen time.Time
-	hard     time.Time // end of the request on the target
-
-	sample []byte // start of the stream, kept under a claim
-	seen   int    // bytes delivered
-
-	out      []byte // bytes to deliver before the next event
-	progress bool   // an event was delivered since the last resume
-	resumes  int    // resumes in a row without progress
-	err      error  // end of the answer, set once
+// streamResponse is the event stream of an engine. It delivers complete events, each
+// once and in order, resumes an interrupted stream if the engine supports that, and
+// returns io.EOF only after [DONE].
+type streamResponse struct {
+	call     *call
+	attempt  *attempt
+	exchange *exchange
+	head     api.AnswerHead
+
+	reader      *sse.Reader
+	sequencer   sequencer
+	streamID    string
+	cost        float64
+	lastEventAt time.Time
+	deadline    time.Time // of the whole request on the target
+
+	bodyStart      []byte // first delivered bytes, kept for the outcome of a claim
+	deliveredBytes int
+
+	pending                []byte // to deliver before the next event is read
+	deliveredSinceResume   bool   // whether an event was delivered since the last resume
+	resumesWithoutProgress int    // consecutive resumes without a delivered event
+	finalErr               error  // returned by Read after pending; set once, when the stream ends
 }
 
-// openEvents reads up to the first event, so that a target that dies before it
-// can still be replaced by another one.
-func (c *call) openEvents(s *slot, x *exchange, st headState) (api.Answer, error) {
-	a := &eventAnswer{
-		call: c, slot: s, x: x, head: c.answerHead(s, x, -1), streamID: st.streamID,
-		events: sse.NewReader(readFunc(x.read), c.d.answers), lastSeen: time.Now(), hard: x.conn.Hard(),
+// openStream returns the response after it has read the first event. A target that
+// fails before its first event can thus still be replaced by another one.
+func (c *call) openStream(a *attempt, x *exchange, state targetState) (api.Answer, error) {
+	r := &streamResponse{
+		call: c, attempt: a, exchange: x, head: c.responseHeader(a, x, -1), streamID: state.streamID,
+		reader: sse.NewReader(readFunc(x.read), c.d.eventMemory), lastEventAt: time.Now(), deadline: x.conn.Hard(),
 	}
-	for len(a.out) == 0 {
-		if err := a.step(); err != nil {
-			return nil, a.failFirst(err)
+	for len(r.pending) == 0 {
+		if err := r.readEvent(); err != nil {
+			return nil, r.failBeforeFirstEvent(err)
 		}
 	}
-	return a, nil
+	return r, nil
 }
 
-// failFirst gives up a stream that delivered nothing.
-func (a *eventAnswer) failFirst(err error) error {
-	f := &fault{step: "first event", cause: err, sent: a.x.conn.Sent}
-	a.closeExchange()
-	done := a.call.ending(a.slot, f.classify(bounds{head: a.hard, hard: a.hard}))
-	a.call.cancelStream(a.slot.grant.Address, a.streamID, done)
+// failBeforeFirstEvent cancels a stream that delivered no event and returns its
+// fault.
+func (r *streamResponse) failBeforeFirstEvent(err error) error {
+	f := &fault{step: "first event", cause: err, sentBytes: r.exchange.conn.Sent}
+	r.closeExchange()
+	done := r.call.prepareFailure(r.attempt, f.classify(timeLimits{headerDeadline: r.deadline, deadline: r.deadline}))
+	r.call.cancelStream(r.attempt.grant.Address, r.streamID, done)
 	return f
 }
 
-// Head implements api.Answer.
-func (a *eventAnswer) Head() api.AnswerHead { return a.head }
+// Head implements api.Answer. The length of a stream is unknown (-1).
+func (r *streamResponse) Head() api.AnswerHead { return r.head }
 
-// Read implements api.Answer.
-func (a *eventAnswer) Read(p []byte) (int, error) {
-	for len(a.out) == 0 {
-		if a.err != nil {
-			return 0, a.err
+// Read implements api.Answer. It blocks until an event can be delivered. If the stream
+// is broken and cannot be resumed it returns an *api.Refusal, and an error that the
+// caller closed the connection if the request was cancelled.
+func (r *streamResponse) Read(p []byte) (int, error) {
+	for len(r.pending) == 0 {
+		if r.finalErr != nil {
+			return 0, r.finalErr
 		}
-		if err := a.step(); err != nil {
-			a.recover(err)
+		if err := r.readEvent(); err != nil {
+			r.resumeOrFail(err)
 		}
 	}
-	n := copy(p, a.out)
-	a.out = a.out[n:]
+	n := copy(p, r.pending)
+	r.pending = r.pending[n:]
 	return n, nil
 }
 
-// step takes one event from the target.
-func (a *eventAnswer) step() error {
-	e, err := a.events.Next()
+// readEvent reads one event from the target and sets pending to the bytes that can be
+// delivered now, if any.
+func (r *streamResponse) readEvent() error {
+	e, err := r.reader.Next()
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
-		return errNoDone
+		return errNoEndMark
 	}
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	a.call.stats.eventGap.Update(now.Sub(a.lastSeen).Seconds())
-	a.lastSeen = now
-	out, v := a.order.push(&e)
+	r.call.stats.eventGapSeconds.Update(now.Sub(r.lastEventAt).Seconds())
+	r.lastEventAt = now
+	deliverable, v := r.sequencer.push(&e)
 	switch v {
-	case broken:
-		return errSequence
-	case duplicate:
-		a.call.stats.dropped.Inc()
+	case verdictBroken:
+		return errMissingEvents
+	case verdictDuplicate:
+		r.call.stats.duplicateEvents.Inc()
 		return nil
-	case held:
+	case verdictEarly:
 		return nil
 	}
 	if cost, ok := usageCost(e.Data); ok {
-		a.cost = cost
+		r.cost = cost
 	}
-	a.out, a.progress = out, true
-	a.keep(out)
+	r.pending, r.deliveredSinceResume = deliverable, true
+	r.keepBodyStart(deliverable)
 	if e.Done() {
-		a.finish()
+		r.complete()
 	}
 	return nil
 }
 
-// finish ends a whole stream. The connection is kept if the body's end has
-// already arrived; waiting for it would delay the caller.
-func (a *eventAnswer) finish() {
-	a.err = io.EOF
-	a.x.close(a.x.ended())
-	a.events.Release()
-	a.slot.done(api.ResultOK, a.cost)
-	if a.call.claimed {
-		a.call.settle(outcome(a.head, a.sample, a.seen))
-	}
-	a.call.cancel()
+// complete ends a stream after [DONE]. The connection is kept only if the end of the
+// body has already arrived, because waiting for it would delay the caller.
+func (r *streamResponse) complete() {
+	r.finalErr = io.EOF
+	r.exchange.close(r.exchange.endReceived())
+	r.reader.Release()
+	r.attempt.finish(api.ResultOK, r.cost)
+	if r.call.claimed {
+		r.call.settle(claimOutcome(r.head, r.bodyStart, r.deliveredBytes))
+	}
+	r.call.cancel()
 }
 
-// keep copies the start of a stream under a claim, for its stored outcome.
-func (a *eventAnswer) keep(out []byte) {
-	a.seen += len(out)
-	if a.call.claimed && a.seen <= maxOutcome {
-		a.sample = append(a.sample, out...)
+// keepBodyStart copies the start of a claimed stream for the stored outcome.
+func (r *streamResponse) keepBodyStart(out []byte) {
+	r.deliveredBytes += len(out)
+	if r.call.claimed && r.deliveredBytes <= maxOutcomeBytes {
+		r.bodyStart = append(r.bodyStart, out...)
 	}
 }
 
-// recover resumes the stream after a failure or ends the answer with an error.
-func (a *eventAnswer) recover(cause error) {
-	if a.call.ctx.Err() != nil {
-		a.end(api.ResultCancelled, errGone)
+// resumeOrFail resumes the stream after a failure, or aborts it if the caller has
+// disconnected or the resume fails.
+func (r *streamResponse) resumeOrFail(cause error) {
+	if r.call.ctx.Err() != nil {
+		r.abort(api.ResultCancelled, errCallerDisconnected)
 		return
 	}
-	if a.resume(cause) {
+	if r.resume(cause) {
 		return
 	}
-	if a.call.ctx.Err() != nil {
-		a.end(api.ResultCancelled, errGone)
+	if r.call.ctx.Err() != nil {
+		r.abort(api.ResultCancelled, errCallerDisconnected)
 		return
 	}
-	a.call.stats.broken.Inc()
-	a.slot.detail = cause.Error()
-	a.call.d.record("stream", "broken", a.call, a.slot.grant.Target, cause.Error())
-	a.end(api.ResultFailed, &api.Refusal{
-		Code: codeBroken, Status: 502, Run: api.RunUnknown, Step: "stream",
-		Peer: a.slot.grant.Target, Message: cause.Error(), RetryAfter: retryAdvice,
+	r.call.stats.brokenResponses.Inc()
+	r.attempt.failureDetail = cause.Error()
+	r.call.d.recordEvent("stream", "broken", r.call, r.attempt.grant.Target, cause.Error())
+	r.abort(api.ResultFailed, &api.Refusal{
+		Code: codeStreamBroken, Status: 502, Run: api.RunUnknown, Step: "stream",
+		Peer: r.attempt.grant.Target, Message: cause.Error(), RetryAfter: retryAfter,
 	})
 }
 
-// end gives up a stream that is not whole.
-func (a *eventAnswer) end(result api.Result, err error) {
-	if a.err != nil {
+// abort ends an incomplete stream: it cancels the stream at the engine, and then
+// reports the outcome. err is returned by later reads.
+func (r *streamResponse) abort(result api.Result, err error) {
+	if r.finalErr != nil {
 		return
 	}
-	a.err = err
-	a.closeExchange()
-	a.call.cancel()
+	r.finalErr = err
+	r.closeExchange()
+	r.call.cancel()
 	if result == api.ResultFailed {
-		a.call.d.conns.Drop(a.slot.grant.Address)
+		r.call.d.conns.Drop(r.attempt.grant.Address)
 	}
-	a.call.cancelStream(a.slot.grant.Address, a.streamID, func() { a.slot.done(result, a.cost) })
+	r.call.cancelStream(r.attempt.grant.Address, r.streamID, func() { r.attempt.finish(result, r.cost) })
 }
 
-func (a *eventAnswer) closeExchange() {
-	if a.x != nil {
-		a.x.close(false)
-		a.x = nil
-		a.events.Release()
+// closeExchange closes the connection to the target and frees the read buffer.
+func (r *streamResponse) closeExchange() {
+	if r.exchange != nil {
+		r.exchange.close(false)
+		r.exchange = nil
+		r.reader.Release()
 	}
 }
 
-// Close implements api.Answer. A stream that has not ended is cancelled at the
-// engine before its slot is freed.
-func (a *eventAnswer) Close() error {
-	a.end(api.ResultCancelled, errGone)
+// Close implements api.Answer. An incomplete stream is cancelled at the engine
+// before the engine's slot is freed.
+func (r *streamResponse) Close() error {
+	r.abort(api.ResultCancelled, errCallerDisconnected)
 	return nil
 }
 
-// readFunc makes a function an io.Reader.
+// readFunc adapts a function to io.Reader.
 type readFunc func(p []byte) (int, error)
 
 // Read implements io.Reader.
--- a/plugin/dispatch/usage.go
+++ b/plugin/dispatch/usage.go
@@ -5,9 +5,11 @@
 	"encoding/json"
 )
 
-// promptShare is the cost of a prompt token in generated tokens.
-const promptShare = 0.1
+// promptTokenCost is the cost of a prompt token in cost units. A generated token
+// costs 1.
+const promptTokenCost = 0.1
 
+// usage is the part of an engine's response or event that contains token counts.
 type usage struct {
 	Usage *struct {
 		Prompt     float64 `json:"prompt_tokens"`
@@ -15,8 +17,8 @@
 	} `json:"usage"`
 }
 
-// usageCost reads the true cost in cost units from an engine's JSON answer or
-// event. It reports false if there is no valid usage in it.
+// usageCost returns the actual cost, in cost units, from an engine's JSON response
+// or event. It returns false if data contains no valid usage.
 func usageCost(data []byte) (float64, bool) {
 	if !bytes.Contains(data, []byte(`"usage"`)) {
 		return 0, false
@@ -28,5 +30,5 @@
 	if u.Usage.Prompt < 0 || u.Usage.Completion < 0 {
 		return 0, false
 	}
-	return u.Usage.Completion + promptShare*u.Usage.Prompt, true
+	return u.Usage.Completion + promptTokenCost*u.Usage.Prompt, true
 }
