--- a/plugin/lease/cluster_test.go
+++ b/plugin/lease/cluster_test.go
@@ -20,11 +20,11 @@
 	"nutmegrouter/plugin/mesh"
 )
 
-// patience bounds waiting in tests. It is far above the protocol's own times, so
+// waitLimit bounds waiting in tests. It is far above the timeouts of the protocol, so
 // that a busy machine does not fail a test.
-const patience = 20 * time.Second
+const waitLimit = 20 * time.Second
 
-// quorum is a stand-in for the control quorum.
+// quorum is a fake control quorum with a settable revision.
 type quorum struct {
 	api.Control
 	revision atomic.Uint64
@@ -50,7 +50,8 @@
 	_ = in.mesh.Cleanup()
 }
 
-// cluster runs instances whose links go through relays.
+// cluster is a set of instances whose connections go through proxies that can cut
+// them.
 type cluster struct {
 	t         *testing.T
 	names     []string
@@ -83,7 +84,7 @@
 	return c
 }
 
-// start runs an instance with empty memory.
+// start runs an instance that has no state from an earlier run.
 func (c *cluster) start(name string) *instance {
 	s := &settings.Settings{Instance: name, Mesh: "127.0.0.1:0"}
 	for _, p := range c.names {
@@ -118,8 +119,8 @@
 	c.t.Helper()
 	begin := time.Now()
 	for !cond() {
-		if time.Since(begin) > patience {
-			c.t.Fatalf("no %s within %s", what, patience)
+		if time.Since(begin) > waitLimit {
+			c.t.Fatalf("no %s within %s", what, waitLimit)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -138,7 +139,7 @@
 	})
 }
 
-// owner returns the only holder of a pool.
+// owner returns an instance that owns the pool and its epoch, or "" if none does.
 func (c *cluster) owner(pool string) (string, uint64) {
 	for name, in := range c.instances {
 		if e, ok := in.keeper.Holds(pool); ok {
@@ -183,9 +184,9 @@
 	}
 }
 
-// Guards against a takeover that does not happen or takes longer than the 3 s of
-// section 1, and against a new owner with an old epoch. It also guards against
-// an owner that dies and for ever counts as a holder of a lease.
+// Guards against a pool that gets no new owner after its owner stops, against a new
+// owner with an old epoch, and against a stopped owner that counts as a possible lease
+// holder for ever. The requirement for a takeover is 3 s; the test only logs the time.
 func TestTakeover(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5)
@@ -197,13 +198,13 @@
 	t.Logf("takeover after %s", took)
 	name, next := c.owner("p")
 	is.True(next > epoch) // epochs grow
-	dead := c.await("proof that the old owner has no lease", func() bool { return !c.instances[name].keeper.MayHoldLease(old) })
-	t.Logf("old owner known to be without lease %s later", dead)
+	expiry := c.await("proof that the old owner has no lease", func() bool { return !c.instances[name].keeper.MayHoldLease(old) })
+	t.Logf("old owner known to be without lease %s later", expiry)
 }
 
-// Guards against an instance that keeps an old view although a peer has a newer
-// one, and against a lease with the old view.
-func TestViewSpreads(t *testing.T) {
+// Guards against an instance that keeps an old view although a peer has a newer one,
+// and against a newer revision that is not reported to the other instances.
+func TestViewReachesAllInstances(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitLeases()
 	c.instances["i1"].fleet.Install(view(7))
--- a/plugin/lease/fault_test.go
+++ b/plugin/lease/fault_test.go
@@ -15,10 +15,10 @@
 	"nutmegrouter/internal/lease"
 )
 
-// Guards against goroutines that outlive the duties.
+// Guards against goroutines that still run after the duties have ended.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sentBytes returns the bytes that an instance has sent to all peers.
+// sentBytes returns the number of bytes that an instance has sent to all peers.
 func sentBytes(in *instance) (total int) {
 	var buf bytes.Buffer
 	in.ctx.Metrics.WritePrometheus(&buf)
@@ -31,8 +31,8 @@
 	return total
 }
 
-// Guards against idle traffic of leases and links beyond the 2 KB/s of section
-// 1: seven instances, two pools, measured on the owner of both or one of them.
+// Guards against idle traffic above 2 KB/s for each instance, with seven instances and
+// two pools. The owner of one or both pools sends the most.
 func TestIdleTraffic(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 7)
@@ -54,8 +54,9 @@
 	}
 }
 
-// Guards against an isolated instance that keeps its lease or its pools, a pool
-// without a new owner after 3 s, and an instance that does not come back.
+// Guards against an isolated instance that keeps its lease or its pools, a pool that
+// gets no new owner (the requirement is 3 s, which is not checked here), and an instance
+// that regains its lease with an old view after the partition heals.
 func TestIsolatedOwner(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5)
@@ -83,8 +84,8 @@
 	is.Equal(in.fleet.View().Revision, uint64(3)) // no lease without the view
 }
 
-// Guards against two instances that lose their leases or their heartbeat because
-// only the link between them is cut.
+// Guards against instances that lose their leases, or the heartbeats of each other,
+// because the link between two of them is cut.
 func TestRelayedBeats(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
@@ -102,8 +103,8 @@
 	c.await("direct link", func() bool { return len(i1.mesh.Unreached()) == 0 })
 }
 
-// Guards against a handover on a planned stop that waits for votes to expire,
-// and against a resigned instance that seeks a pool again.
+// Guards against a planned stop after which the pools have no owner until the votes
+// expire, and against a resigned instance that seeks a pool again.
 func TestResign(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5)
@@ -118,8 +119,8 @@
 	is.NoErr(in.keeper.Resign(context.Background()))
 	name, next := c.owner("p")
 	t.Logf("handed over after %s", time.Since(begin))
-	is.True(name != "" && name != old && next > epoch) // Resign returns after the successor took over
-	is.True(len(changes) > 0)                          // listeners were told
+	is.True(name != "" && name != old && next > epoch) // Resign returns after the successor has taken over
+	is.True(len(changes) > 0)                          // listeners were called
 	c.await("successor known", func() bool { n, e, ok := in.keeper.Owner("p"); return ok && n == name && e == next })
 	in.keeper.SetPools([]string{"p", "q"})
 	c.stop(name)
@@ -127,13 +128,13 @@
 	is.True(next2 != old && next2 != name)
 }
 
-// Guards against a restarted instance that answers as a witness at once, and
-// against one that never does.
+// Guards against a restarted instance that counts as a witness too early, before its
+// grants have expired and its view is current, and against one that never does.
 func TestRestartedWitness(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.awaitLeases()
-	c.quorum.revision.Store(9) // a read confirms revision 9, which nobody has yet
+	c.quorum.revision.Store(9) // the quorum has accepted revision 9, which no instance has yet
 	c.stop("i2")               // i3 alone is no majority of witnesses
 	c.stop("i1")
 	in := c.start("i1")
--- a/plugin/lease/heartbeat.go
+++ b/plugin/lease/heartbeat.go
@@ -10,54 +10,59 @@
 )
 
 const (
-	beatMethod = "beat"
-	// callLimit ends a beat's call when its reply can no longer be of use.
-	callLimit = 1500 * time.Millisecond
-	// tickInterval is the resolution of the stagger between candidates.
+	heartbeatMethod = "beat"
+	// heartbeatTimeout is the age at which the reply to a heartbeat is of no use.
+	heartbeatTimeout = 1500 * time.Millisecond
+	// tickInterval is the period of the node's timers. It limits how finely the
+	// starts of candidates for a pool can be staggered.
 	tickInterval = 50 * time.Millisecond
-	// handoverPoll is the interval at which Resign looks for the successor.
-	handoverPoll = 10 * time.Millisecond
+	// handoverPollInterval is how often Resign checks whether the successors have
+	// taken over.
+	handoverPollInterval = 10 * time.Millisecond
 )
 
-// update runs an input on the node and publishes what changed.
-func (k *Keeper) update(f func(n *lease.Node, now time.Duration)) {
+// update applies an input to the node under the lock. Then it updates the end of the
+// lease, records state changes, calls the listeners, and triggers an urgent heartbeat
+// or a fetch of the view if the node needs one.
+func (k *Keeper) update(input func(n *lease.Node, now time.Duration)) {
 	k.mu.Lock()
 	now := k.clock.Now()
-	f(k.node, now)
+	input(k.node, now)
 	urgent := k.node.Tick(now)
 	behind := len(k.node.Ahead()) > 0
-	k.until.Store(int64(k.node.Until()))
-	listeners := k.changes(now)
+	k.leaseEnd.Store(int64(k.node.Until()))
+	listeners := k.recordChanges(now)
 	k.mu.Unlock()
 	if urgent {
-		kernel.Signal(k.kick)
+		kernel.Signal(k.sendNow)
 	}
 	if behind {
-		kernel.Signal(k.fetch)
+		kernel.Signal(k.fetchNow)
 	}
-	for _, l := range listeners {
-		l()
+	for _, notify := range listeners {
+		notify()
 	}
 }
 
-// changes records state changes and returns the listeners to call, if any. The
-// lock must be held.
-func (k *Keeper) changes(now time.Duration) []func() {
+// recordChanges records changes of the witness state, the lease and the owners. It
+// returns the listeners to call, or nil if lease and owners are unchanged. The lock
+// must be held.
+func (k *Keeper) recordChanges(now time.Duration) []func() {
 	changed := false
-	if w := k.node.Witness(now); w != k.witness {
-		k.witness = w
+	if w := k.node.Witness(now); w != k.reportedWitness {
+		k.reportedWitness = w
 		k.events.Record(kernel.Event{Kind: "witness", Step: "join", Revision: k.fleet.View().Revision})
 	}
-	if v := k.node.Valid(now); v != k.valid {
-		k.valid, changed = v, true
+	if v := k.node.Valid(now); v != k.reportedValid {
+		k.reportedValid, changed = v, true
 		k.recordValidity(v)
 	}
-	for _, pool := range k.pools {
-		var o ownership
-		o.instance, o.epoch, o.ok = k.node.Owner(now, pool)
-		if o != k.known[pool] {
-			k.recordOwner(pool, k.known[pool], o)
-			k.known[pool], changed = o, true
+	for _, pool := range k.watchedPools {
+		var current ownership
+		current.instance, current.epoch, current.known = k.node.Owner(now, pool)
+		if current != k.reportedOwners[pool] {
+			k.recordOwner(pool, k.reportedOwners[pool], current)
+			k.reportedOwners[pool], changed = current, true
 		}
 	}
 	if !changed {
@@ -66,86 +71,92 @@
 	return append([]func(){}, k.listeners...)
 }
 
+// recordValidity records that the instance lease was gained or lost.
 func (k *Keeper) recordValidity(valid bool) {
 	step := "lost"
 	if valid {
 		step = "gained"
-		k.gains.Inc()
+		k.leasesGained.Inc()
 	} else {
-		k.losses.Inc()
+		k.leasesLost.Inc()
 	}
 	k.events.Record(kernel.Event{Kind: "lease", Step: step, Revision: k.fleet.View().Revision})
 	k.log.Info("lease "+step, "step", "lease")
 }
 
-func (k *Keeper) recordOwner(pool string, old, o ownership) {
-	ev := kernel.Event{Kind: "owner", Step: "known", Pool: pool, Peer: o.instance, Epoch: o.epoch}
+// recordOwner records a change of a pool's owner: "gained" by this instance, "known"
+// for a new owner elsewhere, or "lost".
+func (k *Keeper) recordOwner(pool string, old, current ownership) {
+	ev := kernel.Event{Kind: "owner", Step: "known", Pool: pool, Peer: current.instance, Epoch: current.epoch}
 	switch {
-	case !o.ok:
+	case !current.known:
 		ev.Step, ev.Peer, ev.Epoch = "lost", old.instance, old.epoch
-	case o.instance == k.mesh.Self():
+	case current.instance == k.mesh.Self():
 		ev.Step = "gained"
 	}
 	k.events.Record(ev)
 	k.log.Info("owner "+ev.Step, "step", "owner", "pool", pool, "peer", ev.Peer, "epoch", ev.Epoch)
 }
 
-// beatLoop sends the periodic beats and those that must not wait.
-func (k *Keeper) beatLoop(ctx context.Context) error {
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
+// heartbeatLoop sends the periodic and the urgent heartbeats and runs the node's
+// timers.
+func (k *Keeper) heartbeatLoop(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	next := time.Duration(0)
 	for {
 		due := false
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-k.kick:
+		case <-k.sendNow:
 			due = true
-		case <-tick.C:
+		case <-ticker.C:
 			k.update(func(*lease.Node, time.Duration) {})
 		}
 		if now := k.clock.Now(); due || now >= next {
-			k.sendBeat(ctx)
-			next = following(next, now)
+			k.sendHeartbeat(ctx)
+			next = nextHeartbeat(next, now)
 		}
 	}
 }
 
-// following returns when the next periodic beat is due after one sent now. An
-// urgent beat takes the place of a periodic one. It must never put the next one
-// off beyond an interval: a few urgent beats in a row would then end the lease.
-func following(due, now time.Duration) time.Duration {
+// nextHeartbeat returns when the next periodic heartbeat is due after one sent now,
+// where due is the previous due time. An urgent heartbeat replaces a periodic one.
+// It must not delay the next one by more than an interval: otherwise a few urgent
+// heartbeats in a row would let the lease expire.
+func nextHeartbeat(due, now time.Duration) time.Duration {
 	return min(max(due+lease.BeatInterval, now+lease.BeatInterval/2), now+lease.BeatInterval)
 }
 
-func (k *Keeper) sendBeat(ctx context.Context) {
+// sendHeartbeat sends a heartbeat to all peers without waiting for the replies.
+func (k *Keeper) sendHeartbeat(ctx context.Context) {
 	var b lease.Beat
 	stamp := k.events.Now()
 	k.update(func(n *lease.Node, now time.Duration) { b = n.Beat(now) })
 	b.StampMs, b.StampCount = stamp.UnixMs, stamp.Count
 	b.Unreached = k.links.Unreached()
-	k.beats.Inc()
+	k.heartbeats.Inc()
 	for _, peer := range k.mesh.Peers() {
-		k.calls.Go(func() { k.callBeat(ctx, peer, b) })
+		k.heartbeatCalls.Go(func() { k.callHeartbeat(ctx, peer, b) })
 	}
 }
 
-// callBeat sends a beat to one peer and counts its reply.
-func (k *Keeper) callBeat(ctx context.Context, peer string, b lease.Beat) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// callHeartbeat sends a heartbeat to one peer and passes the reply to the node.
+func (k *Keeper) callHeartbeat(ctx context.Context, peer string, b lease.Beat) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply lease.Reply
-	if err := k.mesh.Call(ctx, peer, beatMethod, b, &reply); err != nil {
-		k.failed.Inc()
+	if err := k.mesh.Call(ctx, peer, heartbeatMethod, b, &reply); err != nil {
+		k.heartbeatsUnanswered.Inc()
 		return
 	}
 	reply.Seq = b.Seq
 	k.update(func(n *lease.Node, now time.Duration) { n.OnReply(now, peer, reply) })
 }
 
-// handleBeat answers a peer's beat as a witness.
-func (k *Keeper) handleBeat(_ context.Context, from string, params json.RawMessage) (any, error) {
+// handleHeartbeat processes a peer's heartbeat and returns this witness's reply.
+func (k *Keeper) handleHeartbeat(_ context.Context, from string, params json.RawMessage) (any, error) {
 	var b lease.Beat
 	if err := json.Unmarshal(params, &b); err != nil {
 		return nil, err
@@ -156,7 +167,7 @@
 	k.update(func(n *lease.Node, now time.Duration) {
 		reply = n.OnBeat(now, from, b)
 		for _, r := range b.Requests {
-			k.watch(r.Pool)
+			k.watchPools(r.Pool)
 		}
 	})
 	return reply, nil
--- a/plugin/lease/heartbeat_test.go
+++ b/plugin/lease/heartbeat_test.go
@@ -9,16 +9,16 @@
 	"nutmegrouter/internal/lease"
 )
 
-// Guards against urgent beats that put off the periodic ones until the lease
-// ends, and against a burst of beats after a pause of the process.
-func TestFollowingBeat(t *testing.T) {
+// Guards against urgent heartbeats that delay the periodic ones until the lease
+// expires, and against a burst of heartbeats after a suspension of the process.
+func TestNextHeartbeat(t *testing.T) {
 	is := is.New(t)
 	next, now := time.Duration(0), 10*time.Second
 	for range 20 {
-		next = following(next, now)
+		next = nextHeartbeat(next, now)
 		is.True(next > now && next <= now+lease.BeatInterval)
-		now += time.Millisecond // urgent beats in a row
+		now += time.Millisecond // urgent heartbeats in a row
 	}
-	next = following(time.Second, time.Minute) // late by most of a minute
+	next = nextHeartbeat(time.Second, time.Minute) // overdue by 59 s
 	is.Equal(next, time.Minute+lease.BeatInterval/2)
 }
--- a/plugin/lease/view.go
+++ b/plugin/lease/view.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	fetchMethod  = "view.fetch"
-	fetchLimit   = time.Second            // for one peer's answer
-	fetchPause   = 100 * time.Millisecond // after a failed attempt on all peers ahead
-	confirmLimit = 2 * time.Second        // for one read by the control quorum
-	confirmPause = 100 * time.Millisecond
+	fetchMethod     = "view.fetch"
+	fetchTimeout    = time.Second            // for one peer's response
+	fetchRetryDelay = 100 * time.Millisecond // after all peers with a newer view failed
+	confirmTimeout  = 2 * time.Second        // for one read confirmed by the control quorum
+	confirmInterval = 100 * time.Millisecond // between two such reads
 )
 
-// fetchRequest asks for a view newer than the known one.
+// fetchRequest requests a view newer than the revision Known.
 type fetchRequest struct {
 	Known uint64 `json:"known"`
 }
 
-// handleFetch answers with the local view, or null if it is not newer.
+// handleFetch returns the local view, or null if it is not newer than the known one.
 func (k *Keeper) handleFetch(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var req fetchRequest
 	if err := json.Unmarshal(params, &req); err != nil {
@@ -37,40 +37,40 @@
 	return nil, nil
 }
 
-// viewChanged tells the node and sends a beat at once, so that peers fetch the
-// view without waiting for the next periodic beat.
+// viewChanged passes the new revision to the node and sends a heartbeat at once, so
+// that peers fetch the view without waiting for the next periodic heartbeat.
 func (k *Keeper) viewChanged(v *api.View) {
 	k.update(func(n *lease.Node, now time.Duration) { n.SetRevision(now, v.Revision) })
-	kernel.Signal(k.kick)
+	kernel.Signal(k.sendNow)
 }
 
-// fetchLoop fetches newer views from the peers that have them.
+// fetchLoop fetches the view whenever a peer reports a newer one.
 func (k *Keeper) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-k.fetch:
+		case <-k.fetchNow:
 		}
 		if k.fetchNewest(ctx) {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(fetchPause):
+		case <-time.After(fetchRetryDelay):
 		}
 	}
 }
 
-// fetchNewest asks the peers ahead, the newest first, until one answers with a
-// newer view. It reports whether no peer is ahead any more.
+// fetchNewest tries the peers with a newer view, the newest first, until one sends a
+// newer view. It returns false if there are such peers and all of them failed.
 func (k *Keeper) fetchNewest(ctx context.Context) bool {
 	k.mu.Lock()
 	peers := k.node.Ahead()
 	k.mu.Unlock()
 	for _, peer := range peers {
 		if err := k.fetchFrom(ctx, peer); err != nil {
-			k.log.Debug("fetch failed", "step", fetchMethod, "peer", peer, "error", err)
+			k.log.Debug("view fetch failed", "step", fetchMethod, "peer", peer, "error", err)
 			continue
 		}
 		return true
@@ -78,8 +78,10 @@
 	return len(peers) == 0
 }
 
+// fetchFrom fetches the view of one peer and installs it. It returns an error if that
+// view is missing, incomplete or not newer than the local one.
 func (k *Keeper) fetchFrom(ctx context.Context, peer string) error {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var v *api.View
 	known := k.fleet.View().Revision
@@ -87,48 +89,50 @@
 		return err
 	}
 	if v == nil || v.Revision <= known || v.Config == nil {
-		return errors.Errorf("%s: no newer view", peer)
+		return errors.Errorf("peer %s sent no newer view", peer)
 	}
-	k.fetches.Inc()
+	k.viewFetches.Inc()
 	k.fleet.Install(v)
 	return nil
 }
 
-// confirmLoop asks the control quorum for the newest revision until the node is
-// a witness. The replies of a majority of witnesses have the same effect.
+// confirmLoop reads the newest revision from the control quorum until the node is a
+// witness. The replies of a majority of witnesses can make it one as well.
 func (k *Keeper) confirmLoop(ctx context.Context) error {
-	t := time.NewTicker(confirmPause)
-	defer t.Stop()
+	ticker := time.NewTicker(confirmInterval)
+	defer ticker.Stop()
 	for k.control != nil {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.C:
+		case <-ticker.C:
 		}
 		if k.isWitness() {
 			return nil
 		}
-		if k.clock.Now() >= k.started+lease.RestartTime { // earlier reads do not count
+		if k.clock.Now() >= k.startedAt+lease.RestartTime { // reads that start earlier do not count
 			k.confirm(ctx)
 		}
 	}
 	return nil
 }
 
+// isWitness reports whether this instance counts as a witness.
 func (k *Keeper) isWitness() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.node.Witness(k.clock.Now())
 }
 
+// confirm reads the newest revision from the control quorum and passes it to the node.
 func (k *Keeper) confirm(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, confirmLimit)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	began := k.clock.Now()
+	readStart := k.clock.Now()
 	revision, err := k.control.ReadRevision(ctx)
 	if err != nil {
-		k.log.Debug("read failed", "step", "confirm", "error", err)
+		k.log.Debug("read of the newest revision failed", "step", "confirm", "error", err)
 		return
 	}
-	k.update(func(n *lease.Node, now time.Duration) { n.Confirm(now, began, revision) })
+	k.update(func(n *lease.Node, now time.Duration) { n.Confirm(now, readStart, revision) })
 }
