--- a/plugin/entry/body.go
+++ b/plugin/entry/body.go
@@ -8,48 +8,49 @@
 	"nutmegrouter/internal/api"
 )
 
-// body passes an answer on as it arrives. A failure ends it with an error, for
-// which fasthttp closes the connection without an end mark, so that a cut
-// answer never looks whole.
-type body struct {
-	server *Server
-	ans    api.Answer
-	end    func()
-	id     string
-	events bool   // server-sent events
-	tail   []byte // newest bytes of the stream, to find its event boundaries
-	last   []byte // error event still to be delivered
-	err    error
-	closed bool
+// responseBody streams a target's response body to the caller. On a read error fasthttp
+// closes the connection without the last chunk, so that a truncated response never looks
+// complete.
+type responseBody struct {
+	server     *Server
+	resp       api.Answer
+	release    func()
+	id         string
+	events     bool   // server-sent events
+	tail       []byte // last bytes of an event stream, up to 4, to detect event boundaries
+	errorEvent []byte // unread rest of the final error event
+	err        error
+	closed     bool
 }
 
-func newBody(s *Server, ans api.Answer, head *api.AnswerHead, id string, end func()) *body {
-	kind := strings.ToLower(head.Header["Content-Type"])
-	return &body{server: s, ans: ans, end: end, id: id, events: strings.HasPrefix(kind, "text/event-stream")}
+func newResponseBody(s *Server, resp api.Answer, header *api.AnswerHead, id string, release func()) *responseBody {
+	contentType := strings.ToLower(header.Header["Content-Type"])
+	return &responseBody{server: s, resp: resp, release: release, id: id, events: strings.HasPrefix(contentType, "text/event-stream")}
 }
 
-// Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+// Read implements io.Reader. A broken event stream ends with an error event before the
+// error is returned.
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.err == nil {
-		n, err := b.ans.Read(p)
-		b.observe(p[:n])
+		n, err := b.resp.Read(p)
+		b.keepTail(p[:n])
 		if err != nil {
-			b.fail(err)
+			b.finish(err)
 		}
 		if n > 0 {
 			return n, nil
 		}
 	}
-	if len(b.last) > 0 {
-		n := copy(p, b.last)
-		b.last = b.last[n:]
+	if len(b.errorEvent) > 0 {
+		n := copy(p, b.errorEvent)
+		b.errorEvent = b.errorEvent[n:]
 		return n, nil
 	}
 	return 0, b.err
 }
 
-// observe keeps the last bytes of an event stream.
-func (b *body) observe(p []byte) {
+// keepTail keeps the last bytes of an event stream.
+func (b *responseBody) keepTail(p []byte) {
 	if !b.events {
 		return
 	}
@@ -57,32 +58,33 @@
 	b.tail = b.tail[max(0, len(b.tail)-4):]
 }
 
-// fail sets the end of the body. A broken event stream ends in an error event,
-// unless it broke inside of an event.
-func (b *body) fail(err error) {
+// finish records the error that ends the body, io.EOF if it is complete. It counts any
+// other error, and prepares an error event unless the stream broke within an event.
+func (b *responseBody) finish(err error) {
 	b.err = err
 	if err == io.EOF {
 		return
 	}
-	b.server.stats.cut.Inc()
+	b.server.stats.truncated.Inc()
 	r := asRefusal(err)
-	b.server.stats.refusal(r.Code)
-	if b.events && b.atBoundary() {
-		b.last = append(append([]byte("event: error\ndata: "), refusalBody(r, b.id)...), "\n\n"...)
+	b.server.stats.countRefusal(r.Code)
+	if b.events && b.atEventBoundary() {
+		b.errorEvent = append(append([]byte("event: error\ndata: "), refusalBody(r, b.id)...), "\n\n"...)
 	}
 }
 
-func (b *body) atBoundary() bool {
+// atEventBoundary reports whether the stream has no incomplete event so far.
+func (b *responseBody) atEventBoundary() bool {
 	return len(b.tail) == 0 || bytes.HasSuffix(b.tail, []byte("\n\n")) || bytes.HasSuffix(b.tail, []byte("\n\r\n"))
 }
 
 // Close implements io.Closer. fasthttp calls it after the last read.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	err := b.ans.Close()
-	b.end()
+	err := b.resp.Close()
+	b.release()
 	return err
 }
--- a/plugin/entry/budget.go
+++ b/plugin/entry/budget.go
@@ -9,16 +9,16 @@
 	"nutmegrouter/internal/api"
 )
 
-// budgetBodies is how many of the largest bodies an instance holds at a time for
-// requests that wait or run. Many small ones may take the same memory.
-const budgetBodies = 32
+// bodyBudgetFactor is the memory for the bodies of waiting and running requests, as a
+// multiple of the largest allowed body.
+const bodyBudgetFactor = 32
 
-// takeBody reserves the memory of a body and returns the function that frees it, or a
-// refusal if there is no room. A body is kept until its answer has ended, because a
-// retry or a resume sends it again.
-func (s *Server) takeBody(size int) (free func(), refusal *api.Refusal) {
+// reserveBody reserves the memory of a body of size bytes. It returns a function that
+// releases it, or a refusal if the budget is used up. A body is kept until its response
+// has ended, because a retry or a resumption sends it again.
+func (s *Server) reserveBody(size int) (release func(), refusal *api.Refusal) {
 	if !s.bodies.Take(size) {
-		r := refuse(fasthttp.StatusServiceUnavailable, codeBodiesFull,
+		r := newRefusal(fasthttp.StatusServiceUnavailable, codeBodiesFull,
 			"the bodies of waiting requests exceed "+strconv.FormatInt(s.bodies.Limit(), 10)+" bytes")
 		r.RetryAfter = time.Second
 		return nil, r
--- a/plugin/entry/drain.go
+++ b/plugin/entry/drain.go
@@ -7,48 +7,49 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// drainPoll is how often a planned stop looks at the open connections.
+// drainPoll is the interval at which a planned stop checks the open connections.
 const drainPoll = 20 * time.Millisecond
 
-// Drain implements kernel.Drainer. The listener goes on accepting for the grace
-// time, because the load balancer needs time to react. Answers ask callers to
-// close, requests under way and requests on open connections are served, and
-// idle connections are closed at the end of the grace time.
+// Drain implements kernel.Drainer. Responses ask callers to close their connections. The
+// listener accepts for the grace time, because the load balancer needs time to react,
+// and up to as long again while connections still arrive. Then idle connections are
+// closed, and requests in progress or on open connections are served. Drain returns nil
+// once all connections are closed, or the context's error.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
-	s.record("drain", "accepting for the grace time")
-	if err := wait(ctx, s.grace); err != nil {
+	s.recordEvent("drain", "accepting for the grace time")
+	if err := sleep(ctx, s.stopGrace); err != nil {
 		return err
 	}
-	if err := s.awaitQuiet(ctx); err != nil {
+	if err := s.waitForNoNewConnections(ctx); err != nil {
 		return err
 	}
 	s.listener.Close()
-	s.record("drain", "listener closed")
+	s.recordEvent("drain", "listener closed")
 	for {
 		s.conns.CloseIdle()
 		if open, _ := s.conns.Count(); open == 0 {
-			s.record("drain", "all requests served")
+			s.recordEvent("drain", "all requests served")
 			return nil
 		}
-		if err := wait(ctx, drainPoll); err != nil {
+		if err := sleep(ctx, drainPoll); err != nil {
 			return err
 		}
 	}
 }
 
-// awaitQuiet waits until no connection has arrived for a while, at most for the
-// grace time.
-func (s *Server) awaitQuiet(ctx context.Context) error {
-	for end := time.Now().Add(s.grace); time.Now().Before(end) && !s.listener.Quiet(); {
-		if err := wait(ctx, drainPoll); err != nil {
+// waitForNoNewConnections waits until no connection has arrived for a while, at most for
+// the grace time.
+func (s *Server) waitForNoNewConnections(ctx context.Context) error {
+	for end := time.Now().Add(s.stopGrace); time.Now().Before(end) && !s.listener.Quiet(); {
+		if err := sleep(ctx, drainPoll); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner.
+// Cleanup implements kernel.Cleaner. It closes the listener and all connections.
 func (s *Server) Cleanup() error {
 	if s.listener != nil {
 		s.listener.Close()
@@ -57,11 +58,13 @@
 	return nil
 }
 
-func (s *Server) record(step, detail string) {
+// recordEvent adds an event to the events that operators can read.
+func (s *Server) recordEvent(step, detail string) {
 	s.events.Record(kernel.Event{Kind: "entry", Step: step, Detail: detail})
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for a time, or returns the context's error if it ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/plugin/entry/entry_test.go
+++ b/plugin/entry/entry_test.go
@@ -25,32 +25,32 @@
 	"nutmegrouter/plugin/fleet"
 )
 
-// waitLimit bounds failing tests only.
+// waitLimit is how long a failing test waits for the server.
 const waitLimit = 20 * time.Second
 
 // secretHash is the SHA-256 of the bearer key "secret".
 const secretHash = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b"
 
-// fakeDispatcher records requests and answers "ok".
+// fakeDispatcher records requests and responds with "ok".
 type fakeDispatcher struct {
-	mu   sync.Mutex
-	seen []api.Request
+	mu       sync.Mutex
+	requests []api.Request
 }
 
 func (d *fakeDispatcher) Do(_ context.Context, r *api.Request) (api.Answer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seen = append(d.seen, *r)
-	return fakeAnswer{strings.NewReader("ok")}, nil
+	d.requests = append(d.requests, *r)
+	return fakeResponse{strings.NewReader("ok")}, nil
 }
 
-type fakeAnswer struct{ io.Reader }
+type fakeResponse struct{ io.Reader }
 
-func (fakeAnswer) Head() api.AnswerHead {
+func (fakeResponse) Head() api.AnswerHead {
 	h := map[string]string{"Content-Type": "text/plain", "Set-Cookie": "a=1"}
 	return api.AnswerHead{Status: 200, Length: 2, Target: "t1", Header: h, Extra: [][2]string{{"Set-Cookie", "b=2"}}}
 }
-func (fakeAnswer) Close() error { return nil }
+func (fakeResponse) Close() error { return nil }
 
 func newServer(t testing.TB, d *fakeDispatcher, change ...func(*Server)) *Server {
 	t.Helper()
@@ -91,8 +91,8 @@
 	}
 }
 
-// exchange sends raw bytes and reads one response.
-func exchange(t testing.TB, s *Server, raw string) (*http.Response, string) {
+// roundTrip sends raw bytes and reads one response.
+func roundTrip(t testing.TB, s *Server, raw string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr())
 	must(t, err)
@@ -108,9 +108,9 @@
 
 const auth = "Host: x\r\nAuthorization: Bearer secret\r\n"
 
-// Guards against requests that reach a target although they must be refused:
-// without a key, to unknown places, malformed, too large, or open to two
-// readings (request smuggling), and against refusals that do not say "not run".
+// Guards against requests that reach a target although they must be refused: without a
+// key, to unknown paths or pools, malformed, too large, or ambiguous (request smuggling),
+// and against refusals without the run state "not-run".
 func TestRefusals(t *testing.T) {
 	post := func(path, headers, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\n%s%sContent-Length: %d\r\n\r\n%s", path, auth, headers, len(body), body)
@@ -127,18 +127,18 @@
 		{"key hash as key", "GET /v1/pools/svc/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + secretHash + "\r\n\r\n", 401, codeUnauthorized},
 		{"unknown pool", "GET /v1/pools/none/x HTTP/1.1\r\n" + auth + "\r\n", 404, codeUnknownPool},
 		{"unknown path", "GET /v2/x HTTP/1.1\r\n" + auth + "\r\n", 404, codeUnknownPath},
-		{"orders to an engine", post("/v1/pools/llm/orders", "", "{}"), 404, codeUnknownPath},
-		{"cancel of a stream", post("/v1/pools/llm/v1/streams/s1/cancel", "", ""), 404, codeUnknownPath},
+		{"engine orders", post("/v1/pools/llm/orders", "", "{}"), 404, codeUnknownPath},
+		{"stream cancellation", post("/v1/pools/llm/v1/streams/s1/cancel", "", ""), 404, codeUnknownPath},
 		{"parent path", "GET /v1/pools/svc/a/%2e%2E/b HTTP/1.1\r\n" + auth + "\r\n", 400, codeBadRequest},
 		{"unknown model", post("/v1/chat/completions", "", `{"model":"m9"}`), 404, codeUnknownModel},
 		{"no model", post("/v1/chat/completions", "", `{`), 400, codeBadRequest},
-		{"GET completions", "GET /v1/completions HTTP/1.1\r\n" + auth + "\r\n", 405, codeMethod},
-		{"method", "TRACE /v1/pools/svc/x HTTP/1.1\r\n" + auth + "\r\n", 405, codeMethod},
-		{"connect", "CONNECT x:1 HTTP/1.1\r\n" + auth + "\r\n", 405, codeMethod},
+		{"GET completions", "GET /v1/completions HTTP/1.1\r\n" + auth + "\r\n", 405, codeMethodNotAllowed},
+		{"method", "TRACE /v1/pools/svc/x HTTP/1.1\r\n" + auth + "\r\n", 405, codeMethodNotAllowed},
+		{"connect", "CONNECT x:1 HTTP/1.1\r\n" + auth + "\r\n", 405, codeMethodNotAllowed},
 		{"absolute target", "GET http://y/v1/pools/svc/x HTTP/1.1\r\n" + auth + "\r\n", 400, codeBadRequest},
-		{"body too large", post("/v1/pools/svc/x", "", strings.Repeat("x", 1<<20+1)), 413, codeTooLarge},
-		{"chunked body too large", "POST /v1/pools/svc/x HTTP/1.1\r\n" + auth + "Transfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 0x200000) + "\r\n0\r\n\r\n", 413, codeTooLarge},
-		{"head too large", "GET /v1/pools/svc/x HTTP/1.1\r\n" + auth + "X-A: " + strings.Repeat("x", headerBuffer) + "\r\n\r\n", 431, codeHeadLarge},
+		{"body too large", post("/v1/pools/svc/x", "", strings.Repeat("x", 1<<20+1)), 413, codeBodyTooLarge},
+		{"chunked body too large", "POST /v1/pools/svc/x HTTP/1.1\r\n" + auth + "Transfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 0x200000) + "\r\n0\r\n\r\n", 413, codeBodyTooLarge},
+		{"head too large", "GET /v1/pools/svc/x HTTP/1.1\r\n" + auth + "X-A: " + strings.Repeat("x", headerBuffer) + "\r\n\r\n", 431, codeHeadTooLarge},
 		{"body with GET", "GET /v1/pools/svc/x HTTP/1.1\r\n" + auth + "Content-Length: 3\r\n\r\nabc", 400, codeBadRequest},
 		{"two lengths", "POST /v1/pools/svc/x HTTP/1.1\r\n" + auth + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400, codeBadRequest},
 		{"length and chunks", "POST /v1/pools/svc/x HTTP/1.1\r\n" + auth + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, codeBadRequest},
@@ -158,7 +158,7 @@
 		{"negative hint", post("/v1/pools/svc/x", "X-Cost-Hint: -1\r\n", ""), 400, codeBadRequest},
 		{"bad class", post("/v1/pools/svc/x", "X-Cost-Class: huge\r\n", ""), 400, codeBadRequest},
 		{"bad deadline", post("/v1/pools/svc/x", "X-Deadline-Ms: 0\r\n", ""), 400, codeBadRequest},
-		{"bad mark", post("/v1/pools/svc/x", "X-Non-Idempotent: maybe\r\n", ""), 400, codeBadRequest},
+		{"bad idempotency flag", post("/v1/pools/svc/x", "X-Non-Idempotent: maybe\r\n", ""), 400, codeBadRequest},
 		{"long key", post("/v1/pools/svc/x", "Idempotency-Key: "+strings.Repeat("k", 256)+"\r\n", ""), 400, codeBadRequest},
 	}
 	d := &fakeDispatcher{}
@@ -166,23 +166,23 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			resp, body := exchange(t, s, c.raw)
+			resp, body := roundTrip(t, s, c.raw)
 			is.Equal(resp.StatusCode, c.status)
 			is.True(strings.Contains(body, `"code":"`+c.code+`"`)) // the JSON body has the code
 			is.Equal(resp.Header.Get("X-Run"), "not-run")
 			is.True(resp.Header.Get("X-Request-Id") != "") // a refusal can be traced
-			is.Equal(len(d.seen), 0)                       // the request was not passed on
+			is.Equal(len(d.requests), 0)                   // the request was not dispatched
 		})
 	}
 }
 
-// Guards against wrong or lost fields of a request on its way to the dispatcher,
-// and against headers that let a caller act in the router's name.
+// Guards against wrong or lost fields of a dispatched request, and against forwarding
+// headers with which a caller could impersonate the router.
 func TestForwarding(t *testing.T) {
 	is := is.New(t)
 	d := &fakeDispatcher{}
 	s := newServer(t, d)
-	resp, body := exchange(t, s, "POST /v1/pools/svc/a/b?c=d HTTP/1.1\r\n"+auth+"X-Request-Id: r7\r\nIdempotency-Key: k1\r\n"+
+	resp, body := roundTrip(t, s, "POST /v1/pools/svc/a/b?c=d HTTP/1.1\r\n"+auth+"X-Request-Id: r7\r\nIdempotency-Key: k1\r\n"+
 		"X-Cost-Hint: 2.5\r\nX-Cost-Class: long\r\nX-Deadline-Ms: 1500\r\nX-Resume-Id: s1\r\nLast-Event-ID: 4\r\n"+
 		"X-Stream-Id: s1\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-A: 1\r\nX-A: 2\r\nX-Fold: a\r\n b\r\nContent-Length: 2\r\n\r\nhi")
 	is.Equal(resp.StatusCode, 200)
@@ -191,7 +191,7 @@
 	is.Equal(resp.Header.Get("X-Served-By"), "a1")
 	is.Equal(resp.Header.Get("X-Target"), "t1")
 	is.Equal(resp.Header.Values("Set-Cookie"), []string{"a=1", "b=2"})
-	r := d.seen[0]
+	r := d.requests[0]
 	r.Gone, r.Body = nil, nil
 	is.Equal(r, api.Request{
 		ID: "r7", Workspace: "w1", Pool: "svc", Method: "POST", Path: "/a/b?c=d", Key: "k1", NonIdempotent: true,
@@ -200,9 +200,10 @@
 	})
 }
 
-// Guards against an answer without a request, which a caller could take for the
-// answer to its next one.
-func TestUnaskedAnswer(t *testing.T) {
+// Guards against a response without a request, which a caller could take for the response
+// to its next request: fasthttp responds to a new connection on which nothing arrives in
+// time.
+func TestNoResponseWithoutRequest(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, &fakeDispatcher{}, func(s *Server) { s.http.ReadTimeout = time.Millisecond })
 	c, err := net.Dial("tcp", s.Addr())
@@ -213,24 +214,24 @@
 	is.Equal(string(b), "")
 }
 
-// Guards against bodies of waiting requests that fill the memory, and against
-// room that is not given back.
+// Guards against bodies of waiting requests that fill the memory, and against reserved
+// memory that is not released.
 func TestBodyBudget(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, &fakeDispatcher{})
 	s.bodies = overload.NewBytes(3)
 	post := "POST /v1/pools/svc/x HTTP/1.1\r\n" + auth + "Content-Length: "
 	for range 3 {
-		resp, _ := exchange(t, s, post+"2\r\n\r\nhi")
+		resp, _ := roundTrip(t, s, post+"2\r\n\r\nhi")
 		is.Equal(resp.StatusCode, 200)
 	}
-	resp, _ := exchange(t, s, post+"4\r\n\r\nhigh")
+	resp, _ := roundTrip(t, s, post+"4\r\n\r\nhigh")
 	is.Equal(resp.StatusCode, 503)
 	is.Equal(resp.Header.Get("X-Run")+resp.Header.Get("Retry-After"), "not-run1")
 	is.Equal(s.bodies.Held(), int64(0))
 }
 
-// Guards against requests that are wrongly taken as repeatable or not.
+// Guards against requests that are wrongly classified as idempotent or non-idempotent.
 func TestIdempotency(t *testing.T) {
 	cases := map[bool][]string{
 		true: {"POST svc/x", "PATCH svc/x", "PUT svc/x true", "POST idem/x true", "POST svc/x false",
@@ -243,14 +244,14 @@
 		for _, c := range list {
 			is := is.New(t)
 			f := append(strings.Fields(c), "false")
-			exchange(t, s, f[0]+" /v1/pools/"+f[1]+" HTTP/1.1\r\n"+auth+"X-Non-Idempotent: "+f[2]+"\r\n\r\n")
-			is.Equal(d.seen[len(d.seen)-1].NonIdempotent, want) // as in the table
+			roundTrip(t, s, f[0]+" /v1/pools/"+f[1]+" HTTP/1.1\r\n"+auth+"X-Non-Idempotent: "+f[2]+"\r\n\r\n")
+			is.Equal(d.requests[len(d.requests)-1].NonIdempotent, want) // as in the table
 		}
 	}
 }
 
-// Guards against panics on arbitrary requests, and against accepted requests
-// that leave their pool, carry line breaks, or act in the router's name.
+// Guards against panics on arbitrary requests, and against accepted requests that leave
+// their pool, contain line breaks, or impersonate the router.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /v1/pools/svc/a?b HTTP/1.1\r\n" + auth + "X-Cost-Hint: 2\r\nContent-Length: 1\r\n\r\nx"))
 	f.Add([]byte("POST /v1/completions HTTP/1.1\r\n" + auth + "X-Resume-Id: s\r\nContent-Length: 14\r\n\r\n{\"model\":\"m1\"}"))
@@ -262,22 +263,22 @@
 		if ctx.Request.Read(bufio.NewReader(bytes.NewReader(raw))) != nil {
 			return
 		}
-		r, refusal := s.parse(&ctx)
+		r, refusal := s.parseRequest(&ctx)
 		if refusal != nil {
-			if refusal.Run != api.NotRun || refusal.Status < 400 || r == nil || !visible(r.ID, maxRequestID) {
+			if refusal.Run != api.NotRun || refusal.Status < 400 || r == nil || !isVisible(r.ID, maxRequestID) {
 				t.Fatalf("bad refusal %+v", refusal)
 			}
 			return
 		}
-		if r.Workspace != "w1" || s.current().pools[r.Pool].Name == "" || !strings.HasPrefix(r.Path, "/") {
+		if r.Workspace != "w1" || s.currentRoutes().pools[r.Pool].Name == "" || !strings.HasPrefix(r.Path, "/") {
 			t.Fatalf("accepted %+v", r)
 		}
 		if r.Pool == "llm" && !strings.HasPrefix(r.Path, "/v1/c") {
 			t.Fatalf("path %q reaches an engine", r.Path)
 		}
 		for k, v := range r.Header {
-			if consumed[k] || strings.ContainsAny(k+v+r.Path, "\r\n\x00") {
-				t.Fatalf("passed on: %q: %q", k, v)
+			if droppedHeaders[k] || strings.ContainsAny(k+v+r.Path, "\r\n\x00") {
+				t.Fatalf("forwarded: %q: %q", k, v)
 			}
 		}
 	})
--- a/plugin/entry/handler.go
+++ b/plugin/entry/handler.go
@@ -11,126 +11,129 @@
 	"nutmegrouter/internal/callerconn"
 )
 
-// wholeLimit bounds the answers that are read whole before they are written.
-const wholeLimit = 256 << 10 // bytes
+// maxBufferedResponse is the length up to which a response is read completely before it is
+// written.
+const maxBufferedResponse = 256 << 10 // bytes
 
-// oldLimit bounds the answers of unknown length to HTTP/1.0 callers.
-const oldLimit = 16 << 20 // bytes
+// maxHTTP10Response limits responses of unknown length to HTTP/1.0 callers.
+const maxHTTP10Response = 16 << 20 // bytes
 
-var errAnswerLarge = &api.Refusal{
-	Code: codeAnswerLarge, Status: fasthttp.StatusHTTPVersionNotSupported, Run: api.RunUnknown, Step: "entry",
+var errResponseTooLarge = &api.Refusal{
+	Code: codeResponseTooLarge, Status: fasthttp.StatusHTTPVersionNotSupported, Run: api.RunUnknown, Step: "entry",
 	Message: "the answer is too large for HTTP/1.0",
 }
 
-// handle serves one request.
+// handle validates one request, forwards it and writes the response or a refusal.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	conn, _ := ctx.Conn().(*callerconn.Conn)
 	if conn != nil {
 		defer conn.Served()
 	}
-	s.stats.received.Add(len(ctx.Request.Body()))
-	r, refusal := s.parse(ctx)
-	var free func()
+	s.stats.receivedBytes.Add(len(ctx.Request.Body()))
+	r, refusal := s.parseRequest(ctx)
+	var releaseBody func()
 	if refusal == nil {
-		free, refusal = s.takeBody(len(r.Body))
+		releaseBody, refusal = s.reserveBody(len(r.Body))
 	}
 	if refusal != nil {
 		s.writeRefusal(ctx, refusal, r.ID)
 		if refusal.Status == fasthttp.StatusBadRequest {
-			ctx.SetConnectionClose() // what follows may be the rest of this request
+			ctx.SetConnectionClose() // the following bytes may belong to this request
 		}
 		s.closeIfDraining(ctx)
 		return
 	}
-	s.stats.request(r.Pool)
-	work, cancel := context.WithCancel(context.Background())
-	r.Gone = work.Done()
-	stop := func() {}
+	s.stats.countRequest(r.Pool)
+	workCtx, cancel := context.WithCancel(context.Background())
+	r.Gone = workCtx.Done()
+	stopWatch := func() {}
 	if conn != nil {
-		stop = conn.Watch(func() { s.stats.gone.Inc(); cancel() })
+		stopWatch = conn.Watch(func() { s.stats.disconnected.Inc(); cancel() })
 	}
-	s.run(ctx, work, r, func() { stop(); cancel(); free() })
+	s.forward(ctx, workCtx, r, func() { stopWatch(); cancel(); releaseBody() })
 	s.closeIfDraining(ctx)
 }
 
-// run has the request dispatched and writes its answer. It calls end once the
-// caller need not be watched any more.
-func (s *Server) run(ctx *fasthttp.RequestCtx, work context.Context, r *api.Request, end func()) {
-	ans, err := s.dispatch.Do(work, r)
+// forward dispatches the request and writes the response. workCtx ends when the caller
+// disconnects. release is called once the request no longer needs its resources and the
+// watch of the caller's connection.
+func (s *Server) forward(ctx *fasthttp.RequestCtx, workCtx context.Context, r *api.Request, release func()) {
+	resp, err := s.dispatcher.Do(workCtx, r)
 	if err != nil {
-		end()
+		release()
 		s.writeRefusal(ctx, asRefusal(err), r.ID)
 		return
 	}
-	head := ans.Head()
-	s.writeHead(ctx, &head, r.ID)
+	header := resp.Head()
+	s.writeHeader(ctx, &header, r.ID)
 	if r.Method == fasthttp.MethodHead {
-		defer end()
-		if head.Length >= 0 {
-			ctx.Response.Header.SetContentLength(int(head.Length))
+		defer release()
+		if header.Length >= 0 {
+			ctx.Response.Header.SetContentLength(int(header.Length))
 		}
 		ctx.Response.SkipBody = true
-		ans.Close() //nolint:errcheck // there is no body to lose
+		resp.Close() //nolint:errcheck // a HEAD response has no body
 		return
 	}
-	if head.Length >= 0 && head.Length <= wholeLimit {
-		defer end()
-		s.writeWhole(ctx, ans, int(head.Length), r.ID)
+	if header.Length >= 0 && header.Length <= maxBufferedResponse {
+		defer release()
+		s.writeBuffered(ctx, resp, int(header.Length), r.ID)
 		return
 	}
-	if head.Length < 0 && !ctx.Request.Header.IsHTTP11() {
-		defer end()
-		s.writeWhole(ctx, ans, 0, r.ID)
+	if header.Length < 0 && !ctx.Request.Header.IsHTTP11() {
+		defer release()
+		s.writeBuffered(ctx, resp, 0, r.ID)
 		return
 	}
-	body := newBody(s, ans, &head, r.ID, end)
+	body := newResponseBody(s, resp, &header, r.ID, release)
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.Response.SetBodyStream(body, int(head.Length))
+	ctx.Response.SetBodyStream(body, int(header.Length))
 }
 
-func (s *Server) writeHead(ctx *fasthttp.RequestCtx, head *api.AnswerHead, id string) {
+// writeHeader sets status and headers of the response.
+func (s *Server) writeHeader(ctx *fasthttp.RequestCtx, header *api.AnswerHead, id string) {
 	h := &ctx.Response.Header
-	ctx.Response.SetStatusCode(head.Status)
-	for k, v := range head.Header {
+	ctx.Response.SetStatusCode(header.Status)
+	for k, v := range header.Header {
 		h.Set(k, v)
 	}
-	for _, kv := range head.Extra {
+	for _, kv := range header.Extra {
 		h.Add(kv[0], kv[1])
 	}
 	h.Set(headerID, id)
 	h.Set("X-Served-By", s.instance)
-	if head.Target != "" {
-		h.Set("X-Target", head.Target)
+	if header.Target != "" {
+		h.Set("X-Target", header.Target)
 	}
 }
 
-// writeWhole reads the whole body before it answers: a short one that is already
-// at hand, or one of unknown length for an HTTP/1.0 caller, who knows no chunks
-// and would take a cut answer for whole.
-func (s *Server) writeWhole(ctx *fasthttp.RequestCtx, ans api.Answer, length int, id string) {
-	defer ans.Close() //nolint:errcheck // the body was read to its end or is refused
+// writeBuffered reads the whole body before it writes the response: a short one that has
+// arrived already, or one of unknown length for an HTTP/1.0 caller. Without chunked
+// coding such a caller would take a truncated response for a complete one.
+func (s *Server) writeBuffered(ctx *fasthttp.RequestCtx, resp api.Answer, length int, id string) {
+	defer resp.Close() //nolint:errcheck // the body was read completely, or a refusal replaces it
 	var b bytes.Buffer
 	b.Grow(length + bytes.MinRead)
-	if _, err := io.Copy(&b, io.LimitReader(ans, oldLimit)); err == nil && b.Len() >= oldLimit {
-		s.refuseAnswer(ctx, errAnswerLarge, id)
+	if _, err := io.Copy(&b, io.LimitReader(resp, maxHTTP10Response)); err == nil && b.Len() >= maxHTTP10Response {
+		s.replaceWithRefusal(ctx, errResponseTooLarge, id)
 		return
 	} else if err != nil {
-		s.refuseAnswer(ctx, asRefusal(err), id)
+		s.replaceWithRefusal(ctx, asRefusal(err), id)
 		return
 	}
 	ctx.Response.SetBodyRaw(b.Bytes())
 }
 
-// refuseAnswer replaces an answer of which nothing has been written.
-func (s *Server) refuseAnswer(ctx *fasthttp.RequestCtx, r *api.Refusal, id string) {
-	s.stats.cut.Inc()
+// replaceWithRefusal replaces a response of which nothing has been written by a refusal.
+func (s *Server) replaceWithRefusal(ctx *fasthttp.RequestCtx, r *api.Refusal, id string) {
+	s.stats.truncated.Inc()
 	ctx.Response.Reset()
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	s.writeRefusal(ctx, r, id)
 }
 
-// closeIfDraining asks the caller to use another connection, and so another
-// instance, for its next request.
+// closeIfDraining asks the caller during a planned stop to close the connection, so that
+// its next request reaches another instance.
 func (s *Server) closeIfDraining(ctx *fasthttp.RequestCtx) {
 	if s.draining.Load() {
 		ctx.SetConnectionClose()
--- a/plugin/entry/refuse.go
+++ b/plugin/entry/refuse.go
@@ -14,46 +14,46 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// Codes of refusals that this plug-in makes. They are stable words for callers.
+// Refusal codes of this plug-in. They are part of the API for callers.
 const (
-	codeBadRequest   = "bad_request"
-	codeUnauthorized = "unauthorized"
-	codeUnknownPool  = "unknown_pool"
-	codeUnknownPath  = "unknown_path"
-	codeUnknownModel = "unknown_model"
-	codeMethod       = "method_not_allowed"
-	codeTooLarge     = "body_too_large"
-	codeHeadLarge    = "head_too_large"
-	codeTimeout      = "request_timeout"
-	codeNotReady     = "not_ready"
-	codeAnswerLarge  = "answer_too_large"
-	codeBodiesFull   = "bodies_full"
-	codeInternal     = "internal_error"
+	codeBadRequest       = "bad_request"
+	codeUnauthorized     = "unauthorized"
+	codeUnknownPool      = "unknown_pool"
+	codeUnknownPath      = "unknown_path"
+	codeUnknownModel     = "unknown_model"
+	codeMethodNotAllowed = "method_not_allowed"
+	codeBodyTooLarge     = "body_too_large"
+	codeHeadTooLarge     = "head_too_large"
+	codeRequestTimeout   = "request_timeout"
+	codeNotReady         = "not_ready"
+	codeResponseTooLarge = "answer_too_large"
+	codeBodiesFull       = "bodies_full"
+	codeInternal         = "internal_error"
 )
 
-// refuse makes a refusal of a request that was not passed on.
-func refuse(status int, code, message string) *api.Refusal {
+// newRefusal returns the refusal of a request that was not sent to a target.
+func newRefusal(status int, code, message string) *api.Refusal {
 	return &api.Refusal{Code: code, Message: message, Status: status, Run: api.NotRun, Step: "entry"}
 }
 
 func badRequest(message string) *api.Refusal {
-	return refuse(fasthttp.StatusBadRequest, codeBadRequest, message)
+	return newRefusal(fasthttp.StatusBadRequest, codeBadRequest, message)
 }
 
-func notReady() *api.Refusal {
-	r := refuse(fasthttp.StatusServiceUnavailable, codeNotReady, "this instance has no configuration yet")
+func notReadyRefusal() *api.Refusal {
+	r := newRefusal(fasthttp.StatusServiceUnavailable, codeNotReady, "this instance has no configuration yet")
 	r.RetryAfter = time.Second
 	return r
 }
 
-// asRefusal makes a refusal of any error. An error without a type says nothing
-// about whether the request was run.
+// asRefusal returns the refusal in an error's chain. Any other error becomes an internal
+// error with an unknown run state, because a target may have executed the request.
 func asRefusal(err error) *api.Refusal {
 	var r *api.Refusal
 	if errors.As(err, &r) {
 		return r
 	}
-	r = refuse(fasthttp.StatusInternalServerError, codeInternal, err.Error())
+	r = newRefusal(fasthttp.StatusInternalServerError, codeInternal, err.Error())
 	r.Run = api.RunUnknown
 	return r
 }
@@ -73,6 +73,7 @@
 	Peer         string       `json:"peer"`
 }
 
+// refusalBody returns the JSON body of a refusal.
 func refusalBody(r *api.Refusal, id string) []byte {
 	b, err := json.Marshal(errorBody{errorFields{
 		Code: r.Code, Message: r.Message, Run: r.Run, RetryAfterMs: r.RetryAfter.Milliseconds(),
@@ -84,9 +85,9 @@
 	return b
 }
 
-// writeRefusal answers with a refusal.
+// writeRefusal counts a refusal and writes it as the response.
 func (s *Server) writeRefusal(ctx *fasthttp.RequestCtx, r *api.Refusal, id string) {
-	s.stats.refusal(r.Code)
+	s.stats.countRefusal(r.Code)
 	h := &ctx.Response.Header
 	status := r.Status
 	if status < 400 || status > 599 {
@@ -108,48 +109,50 @@
 	ctx.Response.SetBody(refusalBody(r, id))
 }
 
-// handleMalformed answers a request that fasthttp could not read. The rest of
-// the request is discarded for a moment so that the caller gets the refusal.
+// handleMalformed refuses a request that fasthttp could not read. The connection lingers
+// and discards the rest of the request: closing it with unread bytes would reset it, and
+// the caller would lose the refusal.
 func (s *Server) handleMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r := badRequest("the request is malformed")
 	switch callerconn.ReadFaultOf(err) {
 	case callerconn.BodyTooLarge:
-		r = s.tooLarge(&ctx.Request.Header)
+		r = s.bodyRefusal(&ctx.Request.Header)
 	case callerconn.HeadTooLarge:
-		r = refuse(fasthttp.StatusRequestHeaderFieldsTooLarge, codeHeadLarge,
+		r = newRefusal(fasthttp.StatusRequestHeaderFieldsTooLarge, codeHeadTooLarge,
 			"the head exceeds "+strconv.Itoa(headerBuffer)+" bytes")
 	case callerconn.TimedOut:
-		r = refuse(fasthttp.StatusRequestTimeout, codeTimeout, "the request did not arrive in time")
+		r = newRefusal(fasthttp.StatusRequestTimeout, codeRequestTimeout, "the request did not arrive in time")
 	}
 	if c, ok := ctx.Conn().(*callerconn.Conn); ok {
 		c.LingerOnClose()
 	}
 	id := string(ctx.Request.Header.Peek(headerID))
-	if !visible(id, maxRequestID) {
+	if !isVisible(id, maxRequestID) {
 		id = kernel.NewID()
 	}
 	s.writeRefusal(ctx, r, id)
 }
 
-// tooLarge refuses a body that was not read. Without a valid key no body is
-// read, so the reason may be the key.
-func (s *Server) tooLarge(h *fasthttp.RequestHeader) *api.Refusal {
-	routes := s.current()
+// bodyRefusal returns the refusal of a request whose body exceeded the limit. Without a
+// valid key limitBody lets no body be read, so the reason may be the key.
+func (s *Server) bodyRefusal(h *fasthttp.RequestHeader) *api.Refusal {
+	routes := s.currentRoutes()
 	if routes == nil {
-		return notReady()
+		return notReadyRefusal()
 	}
-	// fasthttp clears the head after an overlong chunked body.
+	// fasthttp clears the request header after a chunked body above the limit, so the key
+	// can only be checked if a Host is left.
 	if _, r := authorize(routes, h); r != nil && len(h.Host()) > 0 {
 		return r
 	}
-	return refuse(fasthttp.StatusRequestEntityTooLarge, codeTooLarge,
-		"the body exceeds "+strconv.Itoa(s.maxBody)+" bytes")
+	return newRefusal(fasthttp.StatusRequestEntityTooLarge, codeBodyTooLarge,
+		"the body exceeds "+strconv.Itoa(s.maxBodyBytes)+" bytes")
 }
 
-// admitBody bounds the body before it is read. A caller without a valid key
-// must not fill the memory.
-func (s *Server) admitBody(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
-	if routes := s.current(); routes != nil {
+// limitBody sets the maximum size of a request's body before the body is read. Without a
+// valid key it is 1 byte, so that unauthenticated callers cannot fill the memory.
+func (s *Server) limitBody(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
+	if routes := s.currentRoutes(); routes != nil {
 		if _, r := authorize(routes, h); r == nil {
 			return fasthttp.RequestConfig{}
 		}
--- a/plugin/entry/request.go
+++ b/plugin/entry/request.go
@@ -14,59 +14,60 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// Bounds of header values.
+// Limits of header values.
 const (
-	maxRequestID = 128 // bytes
-	maxKey       = 255 // bytes
-	maxDeadline  = 24 * time.Hour
+	maxRequestID      = 128 // bytes
+	maxIdempotencyKey = 255 // bytes
+	maxDeadline       = 24 * time.Hour
 )
 
 // Headers of the caller interface.
 const (
-	headerID            = "X-Request-Id"
-	headerKey           = "Idempotency-Key"
-	headerNonIdempotent = "X-Non-Idempotent"
-	headerCost          = "X-Cost-Hint"
-	headerClass         = "X-Cost-Class"
-	headerDeadline      = "X-Deadline-Ms"
+	headerID             = "X-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerNonIdempotent  = "X-Non-Idempotent"
+	headerCostHint       = "X-Cost-Hint"
+	headerCostClass      = "X-Cost-Class"
+	headerDeadline       = "X-Deadline-Ms"
 )
 
-// single lists headers that the router reads. A second value would make their
-// meaning depend on who reads them, so it is refused.
-var single = []string{
-	"Authorization", "Host", "Content-Length", "Content-Type", headerID, headerKey, headerNonIdempotent,
-	headerCost, headerClass, headerDeadline,
+// singleValueHeaders must not be repeated: readers of a request differ in which of
+// several values they use, which allows request smuggling.
+var singleValueHeaders = []string{
+	"Authorization", "Host", "Content-Length", "Content-Type", headerID, headerIdempotencyKey, headerNonIdempotent,
+	headerCostHint, headerCostClass, headerDeadline,
 }
 
-// consumed are headers that do not go to the target: those of one connection,
-// those meant for the router, and those between router and target, with which a
-// caller could reach the stream of another one.
-var consumed = map[string]bool{
+// droppedHeaders are not forwarded to the target: hop-by-hop headers, those meant for the
+// router, and those between router and target, with which a caller could reach another
+// caller's stream.
+var droppedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 	"Host": true, "Content-Length": true, "Authorization": true,
-	headerNonIdempotent: true, headerCost: true, headerClass: true, headerDeadline: true,
+	headerNonIdempotent: true, headerCostHint: true, headerCostClass: true, headerDeadline: true,
 	"X-Resume-Id": true, "Last-Event-Id": true, "X-Stream-Id": true,
 	"X-Target-State": true, "X-Target-Boot": true,
 }
 
-// parse checks a request and makes the record for the dispatcher. The body is
-// not copied: it is valid until the answer has been written.
-func (s *Server) parse(ctx *fasthttp.RequestCtx) (*api.Request, *api.Refusal) {
+// parseRequest validates a request and converts it for the dispatcher. The body is not
+// copied and is valid until the response has been written. The returned request always
+// has an ID, but is incomplete if there is a refusal.
+func (s *Server) parseRequest(ctx *fasthttp.RequestCtx) (*api.Request, *api.Refusal) {
 	h := &ctx.Request.Header
 	r := &api.Request{ID: kernel.NewID()}
 	if id := string(h.Peek(headerID)); id != "" {
-		if !visible(id, maxRequestID) {
+		if !isVisible(id, maxRequestID) {
 			return r, badRequest(headerID + " must be 1 to 128 visible ASCII characters")
 		}
 		r.ID = id
 	}
-	if refusal := checkHead(h); refusal != nil {
+	if refusal := checkHeader(h); refusal != nil {
 		return r, refusal
 	}
-	routes := s.current()
+	routes := s.currentRoutes()
 	if routes == nil {
-		return r, notReady()
+		return r, notReadyRefusal()
 	}
 	var refusal *api.Refusal
 	if r.Workspace, refusal = authorize(routes, h); refusal != nil {
@@ -82,13 +83,13 @@
 	if refusal := parseIdempotency(r, h, routes.pools[r.Pool]); refusal != nil {
 		return r, refusal
 	}
-	r.Header = forwarded(h, r.ID)
+	r.Header = forwardedHeaders(h, r.ID)
 	return r, nil
 }
 
-// checkHead refuses what two readers could understand differently.
-func checkHead(h *fasthttp.RequestHeader) *api.Refusal {
-	for _, name := range single {
+// checkHeader returns a refusal if the request header is ambiguous or malformed, or nil.
+func checkHeader(h *fasthttp.RequestHeader) *api.Refusal {
+	for _, name := range singleValueHeaders {
 		if len(h.PeekAll(name)) > 1 {
 			return badRequest("header " + name + " is given more than once")
 		}
@@ -97,18 +98,20 @@
 		return badRequest("header Host is missing")
 	}
 	for k, v := range h.All() {
-		if !token(string(k)) {
+		if !isToken(string(k)) {
 			return badRequest("a header name has an invalid character")
 		}
-		if !fieldValue(string(v)) {
+		if !isFieldValue(string(v)) {
 			return badRequest("header " + string(k) + " has an invalid character")
 		}
 	}
 	return checkBody(h)
 }
 
+// checkBody returns a refusal if the framing of the body is ambiguous, or if the method is
+// not supported or must not have a body, or nil.
 func checkBody(h *fasthttp.RequestHeader) *api.Refusal {
-	if raw := h.RawHeaders(); named(raw, "Transfer-Encoding") && named(raw, "Content-Length") {
+	if raw := h.RawHeaders(); hasHeader(raw, "Transfer-Encoding") && hasHeader(raw, "Content-Length") {
 		return badRequest("the body has both a length and chunks")
 	}
 	switch string(h.Method()) {
@@ -118,14 +121,14 @@
 		}
 	case fasthttp.MethodPost, fasthttp.MethodPut, fasthttp.MethodPatch, fasthttp.MethodDelete, fasthttp.MethodOptions:
 	default:
-		return refuse(fasthttp.StatusMethodNotAllowed, codeMethod, "method is not supported")
+		return newRefusal(fasthttp.StatusMethodNotAllowed, codeMethodNotAllowed, "method is not supported")
 	}
 	return nil
 }
 
-// named reports whether raw headers have a header. fasthttp drops the length
-// of a chunked body, but a proxy in front may have used it.
-func named(raw []byte, header string) bool {
+// hasHeader reports whether raw headers contain a header. fasthttp drops the length of a
+// chunked body, but a proxy in front of the router may have used it.
+func hasHeader(raw []byte, header string) bool {
 	for line := range bytes.SplitSeq(raw, []byte{'\n'}) {
 		name, _, _ := bytes.Cut(line, []byte{':'})
 		if bytes.EqualFold(name, []byte(header)) {
@@ -135,6 +138,7 @@
 	return false
 }
 
+// authorize returns the workspace that owns the bearer key, or a refusal.
 func authorize(routes *routes, h *fasthttp.RequestHeader) (string, *api.Refusal) {
 	scheme, key, _ := strings.Cut(string(h.Peek("Authorization")), " ")
 	if strings.EqualFold(scheme, "Bearer") {
@@ -142,23 +146,23 @@
 			return name, nil
 		}
 	}
-	return "", refuse(fasthttp.StatusUnauthorized, codeUnauthorized, "the bearer key is missing or wrong")
+	return "", newRefusal(fasthttp.StatusUnauthorized, codeUnauthorized, "the bearer key is missing or wrong")
 }
 
-// parseHints reads cost and deadline.
+// parseHints reads cost hint, cost class and deadline.
 func parseHints(r *api.Request, h *fasthttp.RequestHeader) *api.Refusal {
-	if v := string(h.Peek(headerCost)); v != "" {
+	if v := string(h.Peek(headerCostHint)); v != "" {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(n > 0) || math.IsInf(n, 0) {
-			return badRequest(headerCost + " must be a positive number")
+			return badRequest(headerCostHint + " must be a positive number")
 		}
 		r.Hint = n
 	}
-	switch c := api.CostClass(h.Peek(headerClass)); c {
+	switch c := api.CostClass(h.Peek(headerCostClass)); c {
 	case api.ClassUnknown, api.ClassLong, api.ClassQuick, api.ClassLabel:
 		r.Class = c
 	default:
-		return badRequest(headerClass + " must be long, quick or label")
+		return badRequest(headerCostClass + " must be long, quick or label")
 	}
 	if v := string(h.Peek(headerDeadline)); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
@@ -170,31 +174,33 @@
 	return nil
 }
 
-// parseIdempotency decides whether the request may be sent more than once.
+// parseIdempotency reads the idempotency key and decides whether the request may be sent
+// more than once.
 func parseIdempotency(r *api.Request, h *fasthttp.RequestHeader, p fleetconfig.Pool) *api.Refusal {
-	r.Key = string(h.Peek(headerKey))
-	if r.Key != "" && !visible(r.Key, maxKey) {
-		return badRequest(headerKey + " must be 1 to 255 visible ASCII characters")
+	r.Key = string(h.Peek(headerIdempotencyKey))
+	if r.Key != "" && !isVisible(r.Key, maxIdempotencyKey) {
+		return badRequest(headerIdempotencyKey + " must be 1 to 255 visible ASCII characters")
 	}
-	changes := r.Method == fasthttp.MethodPost || r.Method == fasthttp.MethodPatch
+	nonIdempotentMethod := r.Method == fasthttp.MethodPost || r.Method == fasthttp.MethodPatch
 	switch strings.ToLower(string(h.Peek(headerNonIdempotent))) {
 	case "true":
-		r.NonIdempotent = changes || r.Method == fasthttp.MethodPut || r.Method == fasthttp.MethodDelete
+		r.NonIdempotent = nonIdempotentMethod || r.Method == fasthttp.MethodPut || r.Method == fasthttp.MethodDelete
 	case "", "false":
-		r.NonIdempotent = changes && p.Kind != fleetconfig.KindEngine && !p.Idempotent
+		r.NonIdempotent = nonIdempotentMethod && p.Kind != fleetconfig.KindEngine && !p.Idempotent
 	default:
 		return badRequest(headerNonIdempotent + " must be true or false")
 	}
 	return nil
 }
 
-// forwarded returns the headers that go to the target. Repeated ones are joined.
-func forwarded(h *fasthttp.RequestHeader, id string) map[string]string {
+// forwardedHeaders returns the headers to send to the target. Values of repeated ones are
+// joined.
+func forwardedHeaders(h *fasthttp.RequestHeader, id string) map[string]string {
 	out := make(map[string]string, 8)
-	listed := string(h.Peek("Connection"))
+	connectionHeader := string(h.Peek("Connection"))
 	for k, v := range h.All() {
 		name := string(k)
-		if consumed[name] || (listed != "" && listedIn(listed, name)) {
+		if droppedHeaders[name] || (connectionHeader != "" && isConnectionOption(connectionHeader, name)) {
 			continue
 		}
 		if old, ok := out[name]; ok {
@@ -207,7 +213,7 @@
 	return out
 }
 
-// separator returns what joins the values of a repeated header.
+// separator returns the text between the joined values of a repeated header.
 func separator(name string) string {
 	if name == "Cookie" {
 		return "; "
@@ -215,9 +221,9 @@
 	return ", "
 }
 
-// listedIn reports whether a Connection header names another header, which then
-// applies to this connection only.
-func listedIn(connection, name string) bool {
+// isConnectionOption reports whether a Connection header lists another header, which is
+// then hop-by-hop.
+func isConnectionOption(connection, name string) bool {
 	for _, v := range strings.Split(connection, ",") {
 		if strings.EqualFold(strings.TrimSpace(v), name) {
 			return true
@@ -226,8 +232,8 @@
 	return false
 }
 
-// visible reports whether a value has 1 to limit visible ASCII characters.
-func visible(s string, limit int) bool {
+// isVisible reports whether a value has 1 to limit visible ASCII characters.
+func isVisible(s string, limit int) bool {
 	if s == "" || len(s) > limit {
 		return false
 	}
@@ -239,8 +245,8 @@
 	return true
 }
 
-// token reports whether a header name is valid.
-func token(s string) bool {
+// isToken reports whether a header name is an RFC 9110 token.
+func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		b := s[i]
 		alnum := b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z'
@@ -251,8 +257,8 @@
 	return s != ""
 }
 
-// fieldValue reports whether a header value has no control characters.
-func fieldValue(s string) bool {
+// isFieldValue reports whether a header value has no control characters except tab.
+func isFieldValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if (s[i] < ' ' && s[i] != '\t') || s[i] == 0x7f {
 			return false
--- a/plugin/entry/route.go
+++ b/plugin/entry/route.go
@@ -12,36 +12,36 @@
 
 const poolPrefix = "/v1/pools/"
 
-// enginePaths are the paths of an engine that callers may use. Orders, cache
-// events and cancels are for the router.
+// enginePaths are the paths of an engine that callers may use. Orders, cache events and
+// stream cancellation are reserved for the router.
 var enginePaths = map[string]bool{"/v1/chat/completions": true, "/v1/completions": true}
 
-// route sets the pool and the path on the target.
+// route sets the pool of a request and its path on the target, or returns a refusal.
 func (t *routes) route(r *api.Request, uri string) *api.Refusal {
-	if !cleanURI(uri) {
+	if !validRequestTarget(uri) {
 		return badRequest("the request target is malformed")
 	}
 	path, _, _ := strings.Cut(uri, "?")
 	switch {
 	case enginePaths[path]:
-		return t.routeModel(r, uri)
+		return t.routeByModel(r, uri)
 	case strings.HasPrefix(path, poolPrefix):
-		return t.routePool(r, uri[len(poolPrefix):])
+		return t.routeByPool(r, uri[len(poolPrefix):])
 	}
-	return refuse(fasthttp.StatusNotFound, codeUnknownPath, "no such path")
+	return newRefusal(fasthttp.StatusNotFound, codeUnknownPath, "no such path")
 }
 
-// routePool takes the pool from the path and passes the rest on.
-func (t *routes) routePool(r *api.Request, rest string) *api.Refusal {
+// routeByPool routes a request to the pool in its path; the rest is the target's path.
+func (t *routes) routeByPool(r *api.Request, rest string) *api.Refusal {
 	name, query, hasQuery := strings.Cut(rest, "?")
 	name, path, _ := strings.Cut(name, "/")
 	pool, ok := t.pools[name]
 	if !ok {
-		return refuse(fasthttp.StatusNotFound, codeUnknownPool, "no such pool")
+		return newRefusal(fasthttp.StatusNotFound, codeUnknownPool, "no such pool")
 	}
 	path = "/" + path
 	if pool.Kind == fleetconfig.KindEngine && !enginePaths[path] {
-		return refuse(fasthttp.StatusNotFound, codeUnknownPath, "engines serve /v1/chat/completions and /v1/completions")
+		return newRefusal(fasthttp.StatusNotFound, codeUnknownPath, "engines serve /v1/chat/completions and /v1/completions")
 	}
 	if hasQuery {
 		path += "?" + query
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// routeModel takes the pool from the model that the body names.
-func (t *routes) routeModel(r *api.Request, uri string) *api.Refusal {
+// routeByModel routes a request to the pool that serves the model in its body.
+func (t *routes) routeByModel(r *api.Request, uri string) *api.Refusal {
 	if r.Method != fasthttp.MethodPost {
-		return refuse(fasthttp.StatusMethodNotAllowed, codeMethod, "completions are made with POST")
+		return newRefusal(fasthttp.StatusMethodNotAllowed, codeMethodNotAllowed, "completions are made with POST")
 	}
 	var body struct {
 		Model string `json:"model"`
@@ -63,15 +63,15 @@
 	}
 	pool, ok := t.models[body.Model]
 	if !ok {
-		return refuse(fasthttp.StatusNotFound, codeUnknownModel, "no pool serves this model")
+		return newRefusal(fasthttp.StatusNotFound, codeUnknownModel, "no pool serves this model")
 	}
 	r.Pool, r.Path = pool, uri
 	return nil
 }
 
-// cleanURI accepts a path in origin form without control characters, spaces and
-// parent segments, with which a path could leave its pool.
-func cleanURI(uri string) bool {
+// validRequestTarget reports whether a request target is in origin form without control
+// characters, spaces and dot segments, with which a path could leave its pool.
+func validRequestTarget(uri string) bool {
 	if !strings.HasPrefix(uri, "/") || strings.HasPrefix(uri, "//") {
 		return false
 	}
@@ -82,11 +82,11 @@
 	}
 	path, _, _ := strings.Cut(uri, "?")
 	for _, seg := range strings.Split(path, "/") {
-		if plain := strings.ToLower(seg); dotSegment(strings.ReplaceAll(plain, "%2e", ".")) {
+		if lower := strings.ToLower(seg); isDotSegment(strings.ReplaceAll(lower, "%2e", ".")) {
 			return false
 		}
 	}
 	return true
 }
 
-func dotSegment(s string) bool { return s == "." || s == ".." }
+func isDotSegment(s string) bool { return s == "." || s == ".." }
--- a/plugin/entry/routes.go
+++ b/plugin/entry/routes.go
@@ -9,7 +9,7 @@
 	"nutmegrouter/internal/api"
 )
 
-// routes is what the server needs of one view, in a form that is quick to use.
+// routes indexes the configuration of one view for fast lookups.
 type routes struct {
 	view   *api.View
 	keys   []keyHash
@@ -17,13 +17,14 @@
 	models map[string]string // model -> pool
 }
 
+// keyHash is the SHA-256 of a bearer key and the workspace that owns the key.
 type keyHash struct {
 	hash      [sha256.Size]byte
 	workspace string
 }
 
-// current returns the routes of the newest view, or nil before there is one.
-func (s *Server) current() *routes {
+// currentRoutes returns the routes of the newest view, or nil if it has no configuration.
+func (s *Server) currentRoutes() *routes {
 	v := s.fleet.View()
 	if v.Config == nil {
 		return nil
@@ -36,6 +37,7 @@
 	return r
 }
 
+// newRoutes builds the routes of a view. The first engine pool of a model serves it.
 func newRoutes(v *api.View) *routes {
 	r := &routes{view: v, pools: map[string]fleetconfig.Pool{}, models: map[string]string{}}
 	for _, p := range v.Config.Pools {
@@ -48,7 +50,7 @@
 		for _, h := range w.KeyHashes {
 			raw, err := hex.DecodeString(h)
 			if err != nil || len(raw) != sha256.Size {
-				continue // the validation of the document refuses these
+				continue // validation of the configuration refuses these
 			}
 			r.keys = append(r.keys, keyHash{hash: [sha256.Size]byte(raw), workspace: w.Name})
 		}
@@ -56,8 +58,8 @@
 	return r
 }
 
-// workspace returns the owner of a bearer key. Every hash is compared, so the
-// time taken tells nothing about which one matched.
+// workspace returns the workspace that owns a bearer key. It compares all hashes in
+// constant time, so that the time does not reveal which one matched.
 func (r *routes) workspace(key string) (string, bool) {
 	sum := sha256.Sum256([]byte(key))
 	found := -1
--- a/plugin/entry/setup.go
+++ b/plugin/entry/setup.go
@@ -1,5 +1,7 @@
-// Package entry is the HTTP server for callers: it checks and routes requests,
-// passes answers on as they arrive, and refuses with a truthful run state.
+// Package entry is the HTTP reverse proxy for callers of a fleet with the profile
+// "pools". It authenticates, validates and routes requests, dispatches them through
+// api.Dispatcher and streams the responses back. Each refusal states whether the request
+// may have run.
 package entry
 
 import (
@@ -27,28 +29,29 @@
 	})
 }
 
-// Bounds of connections from callers.
+// Limits of caller connections.
 const (
-	readLimit    = 60 * time.Second  // of one request with its body
-	idleLimit    = 120 * time.Second // between two requests of a connection
-	headerBuffer = 32 << 10          // bytes; bounds the head of a request
-	writeBuffer  = 16 << 10          // bytes
+	requestReadTimeout = 60 * time.Second  // of reading one request with its body
+	idleTimeout        = 120 * time.Second // between two requests of a connection
+	headerBuffer       = 32 << 10          // bytes; the largest request header
+	writeBuffer        = 16 << 10          // bytes
 )
 
-// Server is the HTTP server for callers. The zero value must be provisioned.
+// Server is the plug-in that serves callers over HTTP. The zero value must be provisioned
+// and started.
 type Server struct {
-	dispatch api.Dispatcher
-	fleet    api.Fleet
+	dispatcher api.Dispatcher
+	fleet      api.Fleet
 
-	instance string
-	listen   string
-	grace    time.Duration
-	maxBody  int
-	log      *slog.Logger
-	events   *kernel.Events
-	stats    *stats
-	routes   atomic.Pointer[routes]
-	bodies   *overload.Bytes
+	instance     string
+	listen       string
+	stopGrace    time.Duration
+	maxBodyBytes int
+	log          *slog.Logger
+	events       *kernel.Events
+	stats        *stats
+	routes       atomic.Pointer[routes]
+	bodies       *overload.Bytes
 
 	http     *fasthttp.Server
 	listener *callerconn.Listener
@@ -56,38 +59,39 @@
 	draining atomic.Bool
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It fails if the dispatcher or the fleet is not
+// provided.
 func (s *Server) Provision(c *kernel.Context) error {
 	var err error
-	if s.dispatch, err = kernel.Lookup[api.Dispatcher](c); err != nil {
+	if s.dispatcher, err = kernel.Lookup[api.Dispatcher](c); err != nil {
 		return err
 	}
 	if s.fleet, err = kernel.Lookup[api.Fleet](c); err != nil {
 		return err
 	}
 	s.instance, s.listen = c.Settings.Instance, c.Settings.Listen
-	s.grace, s.maxBody = c.Settings.StopGrace(), c.Settings.MaxBodyBytes()
+	s.stopGrace, s.maxBodyBytes = c.Settings.StopGrace(), c.Settings.MaxBodyBytes()
 	s.log, s.events = c.Log, c.Events
-	s.stats, s.bodies = newStats(c.Metrics), overload.NewBytes(budgetBodies*int64(s.maxBody))
-	s.conns = callerconn.NewTracker(s.stats.sent, nil)
+	s.stats, s.bodies = newStats(c.Metrics), overload.NewBytes(bodyBudgetFactor*int64(s.maxBodyBytes))
+	s.conns = callerconn.NewTracker(s.stats.sentBytes, nil)
 	c.Metrics.NewGauge("nutmeg_entry_body_bytes", func() float64 { return float64(s.bodies.Held()) })
 	c.Metrics.NewGauge("nutmeg_entry_connections", func() float64 { open, _ := s.conns.Count(); return float64(open) })
 	c.Metrics.NewGauge("nutmeg_entry_busy_connections", func() float64 { _, busy := s.conns.Count(); return float64(busy) })
-	s.http = s.newHTTP()
+	s.http = s.newHTTPServer()
 	return nil
 }
 
-func (s *Server) newHTTP() *fasthttp.Server {
+func (s *Server) newHTTPServer() *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:                      s.handle,
 		ErrorHandler:                 s.handleMalformed,
-		HeaderReceived:               s.admitBody,
+		HeaderReceived:               s.limitBody,
 		Name:                         "nutmegd",
-		ReadTimeout:                  readLimit,
-		IdleTimeout:                  idleLimit,
+		ReadTimeout:                  requestReadTimeout,
+		IdleTimeout:                  idleTimeout,
 		ReadBufferSize:               headerBuffer,
 		WriteBufferSize:              writeBuffer,
-		MaxRequestBodySize:           s.maxBody,
+		MaxRequestBodySize:           s.maxBodyBytes,
 		NoDefaultContentType:         true,
 		DisablePreParseMultipartForm: true,
 		SecureErrorLogMessage:        true,
@@ -95,7 +99,7 @@
 	}
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It fails if the address for callers is not available.
 func (s *Server) Start(d *kernel.Duties) error {
 	lc := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: 10 * time.Second, Interval: 5 * time.Second, Count: 3,
@@ -109,10 +113,11 @@
 	return nil
 }
 
-// serve accepts callers until the listener closes.
+// serve accepts connections of callers until the context ends or the listener closes.
 func (s *Server) serve(ctx context.Context) error {
 	return s.listener.Serve(ctx, s.http.Serve, s.draining.Load)
 }
 
-// Addr returns the address on which the server listens.
+// Addr returns the address on which the server listens. It must not be called before
+// Start.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
--- a/plugin/gateway/cost_test.go
+++ b/plugin/gateway/bench_test.go
@@ -19,31 +19,31 @@
 	"nutmegrouter/platform/standin"
 )
 
-// newCostRig starts a gateway that logs as the daemon does, with the volume bounded.
-func newCostRig(b *testing.B, targets ...*target) *rig {
+// newBenchRig starts a gateway that logs through a bounded queue, as the daemon does.
+func newBenchRig(b *testing.B, targets ...*target) *rig {
 	q := logqueue.New(io.Discard, metrics.NewSet())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { q.Run(ctx); close(done) }()
 	b.Cleanup(func() { cancel(); <-done })
 	r := &rig{t: b, is: is.New(b), targets: targets}
-	return r.start(1, q.Handler(0)).configured(1)
+	return r.start(1, q.Handler(0)).configure(1)
 }
 
-// free ends the bound on the rate and on sudden loads.
-func (l *loadGate) free() {
+// reset ends the limits on the request rate and on bursts.
+func (l *loadGate) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gate = overload.New()
 }
 
-// longRequest is a model request with a body and headers of usual size.
+// longRequest returns a model request with a body and headers of typical size.
 func longRequest(id string) string {
 	return request("POST", "/draft/1", id, strings.Repeat("x", 12000),
 		standin.HeaderModel+": m", standin.HeaderTokens+": 11992,425", standin.HeaderPrompt+": 5c1e07a2:512,91bd3f06:4870,"+id+":6610")
 }
 
-// measure sends requests on one connection, each after a preparation.
+// measure sends b.N requests on one connection and calls prepare before each.
 func (r *rig) measure(b *testing.B, status int, prepare func()) {
 	c := r.dial()
 	b.ResetTimer()
@@ -54,17 +54,17 @@
 	}
 }
 
-// BenchmarkRefused measures the processor time of a request that is refused at once: a
-// flooding workspace makes an instance do little else.
+// BenchmarkRefused measures a request that Precheck refuses. An overloaded workspace
+// makes an instance do little else.
 func BenchmarkRefused(b *testing.B) {
-	r := newCostRig(b)
+	r := newBenchRig(b)
 	r.precheck = &api.Refusal{Code: "share_exceeded", Status: 503, Run: api.NotRun, Step: "place", RetryAfter: time.Second, Message: "the workspace exceeds its share"}
-	r.measure(b, http.StatusServiceUnavailable, r.gateway.load.free)
+	r.measure(b, http.StatusServiceUnavailable, r.gateway.load.reset)
 }
 
-// BenchmarkBusy measures a request that is refused for want of processor time.
+// BenchmarkBusy measures a request that is shed for lack of processor time.
 func BenchmarkBusy(b *testing.B) {
-	r := newCostRig(b)
+	r := newBenchRig(b)
 	for range 20 {
 		r.gateway.load.allow("w")
 		r.gateway.load.tick(200 * time.Millisecond)
@@ -72,16 +72,16 @@
 	r.measure(b, http.StatusServiceUnavailable, func() {})
 }
 
-// BenchmarkStream measures a stream of 40 events.
+// BenchmarkStream measures a streamed response of 40 events.
 func BenchmarkStream(b *testing.B) {
 	x := newTarget(b, "t1", func(c net.Conn, r *http.Request, _ int) {
-		write(c, streamHead(idOf(r)))
+		write(c, streamHeader(attemptID(r)))
 		for n := range 40 {
 			write(c, chunk(fmt.Sprintf("id: %d\ndata: %075d\n\n", n+1, n)))
 			time.Sleep(50 * time.Microsecond)
 		}
 		write(c, endChunk)
 	})
-	r := newCostRig(b, x)
-	r.measure(b, http.StatusOK, r.gateway.load.free)
+	r := newBenchRig(b, x)
+	r.measure(b, http.StatusOK, r.gateway.load.reset)
 }
--- a/plugin/gateway/callers_test.go
+++ b/plugin/gateway/callers_test.go
@@ -14,27 +14,27 @@
 	"nutmegrouter/platform/standin"
 )
 
-// Guards against requests that reach a target although their host, path or key
-// allows it not, and against answers that are not final.
+// Guards against requests that reach a target although their host, path or key does not
+// allow it, and against refusals without the right status.
 func TestAdmission(t *testing.T) {
-	x := newTarget(t, "t1", echo("ok"))
+	x := newTarget(t, "t1", respondWith("ok"))
 	r := newRig(t, x)
 	c := r.dial()
 	c.send(request("GET", "/look/1", "id1", ""))
-	resp := c.want(503, "*") // no configuration yet: come back
+	resp := c.want(503, "*") // no configuration yet
 	r.is.True(resp.Header.Get("Retry-After") != "")
-	r.configured(1)
+	r.configure(1)
 	for _, x := range []struct {
 		name, text string
 		status     int
 	}{
 		{"unknown path", request("GET", "/nothing/1", "i", ""), 404},
 		{"unknown host", strings.Replace(request("GET", "/look/1", "i", ""), "f.example", "g.example", 1), 404},
-		{"prefix without its end", request("GET", "/look", "i", ""), 404},
+		{"prefix without trailing slash", request("GET", "/look", "i", ""), 404},
 		{"no key", strings.Replace(request("POST", "/chat/1", "i", "x"), "Authorization: Bearer key\r\n", "", 1), 401},
 		{"unknown key", strings.Replace(request("POST", "/chat/1", "i", "x"), "Bearer key", "Bearer kex", 1), 401},
-		{"other scheme", strings.Replace(request("POST", "/chat/1", "i", "x"), "Bearer key", "Basic key", 1), 401},
-		{"bad deadline", strings.Replace(request("GET", "/look/1", "i", ""), "4000", "soon", 1), 400},
+		{"unknown scheme", strings.Replace(request("POST", "/chat/1", "i", "x"), "Bearer key", "Basic key", 1), 401},
+		{"invalid deadline", strings.Replace(request("GET", "/look/1", "i", ""), "4000", "soon", 1), 400},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := r.dial()
@@ -49,23 +49,23 @@
 	c.send(request("GET", "/look/1", "id2", "", "Authorization: Bearer other")) // two keys
 	c.want(400, "*")
 	c = r.dial()
-	c.send(strings.Replace(request("GET", "/look/1", "id3", ""), "Bearer key", "Bearer unknown", 1)) // public: no key is needed
+	c.send(strings.Replace(request("GET", "/look/1", "id3", ""), "Bearer key", "Bearer unknown", 1)) // a public route needs no key
 	c.want(200, "ok")
 	r.is.Equal(x.requests[0].Header.Get(standin.HeaderWorkspace), "")
 	r.is.Equal(x.requests[0].Header.Get("Authorization"), "")
 }
 
-// Guards against heads and bodies that two readers understand differently, through
-// which one request could hide in another.
+// Guards against request smuggling: headers and bodies that two readers parse
+// differently, so that one request can hide in another.
 func TestMalformed(t *testing.T) {
-	x := newTarget(t, "t1", echo("ok"))
-	r := newRig(t, x).configured(1)
+	x := newTarget(t, "t1", respondWith("ok"))
+	r := newRig(t, x).configure(1)
 	hidden := request("POST", "/order/2", "hidden", "")
 	for name, text := range map[string]string{
 		"length and chunks":    "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 		"two lengths":          "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nContent-Length: 0\r\nContent-Length: 9\r\n\r\n" + hidden,
 		"signed length":        "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nContent-Length: +2\r\n\r\nab",
-		"listed length":        "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nContent-Length: 2, 2\r\n\r\nab",
+		"list of lengths":      "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nContent-Length: 2, 2\r\n\r\nab",
 		"space before colon":   "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nContent-Length : 2\r\n\r\nab",
 		"folded line":          "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nX-A: 1\r\n folded\r\nContent-Length: 0\r\n\r\n",
 		"bare line feeds":      "POST /order/1 HTTP/1.1\nHost: f.example\nContent-Length: 0\n\n",
@@ -74,7 +74,7 @@
 		"no host":              "POST /order/1 HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
 		"absolute target":      "POST http://f.example/order/1 HTTP/1.1\r\nHost: f.example\r\nContent-Length: 0\r\n\r\n",
 		"control character":    "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nX-A: a\x01b\r\nContent-Length: 0\r\n\r\n",
-		"odd name":             "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nX(A: 1\r\nContent-Length: 0\r\n\r\n",
+		"invalid name":         "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nX(A: 1\r\nContent-Length: 0\r\n\r\n",
 		"unknown coding":       "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n" + hidden,
 		"two codings":          "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nTransfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n" + hidden,
 		"bad chunk":            "POST /order/1 HTTP/1.1\r\nHost: f.example\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
@@ -92,17 +92,17 @@
 			c := r.dial()
 			c.t = t
 			c.send(text)
-			resp, _, err := c.answer()
+			resp, _, err := c.readResponse()
 			if err != nil {
-				t.Fatalf("no answer: %v", err)
+				t.Fatalf("no response: %v", err)
 			}
-			// Without a single CRLF the head has no end that the library sees.
+			// fasthttp finds no end of a header without any CRLF and times out.
 			timedOut := name == "bare line feeds" && resp.StatusCode == 408
 			if resp.StatusCode != 400 && resp.StatusCode != 501 && !timedOut {
 				t.Errorf("status %d, want 400", resp.StatusCode)
 			}
-			if _, _, err := c.answer(); err == nil {
-				t.Error("the connection goes on behind a malformed request")
+			if _, _, err := c.readResponse(); err == nil {
+				t.Error("the connection stays open after a malformed request")
 			}
 		})
 	}
@@ -110,11 +110,11 @@
 	r.is.Equal(n, 0)
 }
 
-// Guards against limits of the configuration that are not kept, or that close a
-// connection without an answer.
+// Guards against configured limits that are not enforced, or that close a connection
+// without a response.
 func TestLimits(t *testing.T) {
-	x := newTarget(t, "t1", echo("ok"))
-	r := newRig(t, x).configured(1)
+	x := newTarget(t, "t1", respondWith("ok"))
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("GET", "/look/1", "id1", "", "X-Long: "+strings.Repeat("a", 3000)))
 	c.want(431, "*")
@@ -133,24 +133,26 @@
 	c.want(200, "ok")
 	r.is.Equal(x.bodies[1], "abcde")
 
-	begin := time.Now() // a head that never ends
+	begin := time.Now() // a header that never ends
 	c = r.dial()
 	c.send("GET /look/1 HTTP/1.1\r\nHost: f.example\r\nX-A: 1")
 	c.want(408, "*")
 	r.is.True(time.Since(begin) < 2*time.Second)
 	begin = time.Now() // an idle connection
 	c = r.dial()
-	_, _, err := c.answer()
-	r.is.Equal(err, io.ErrUnexpectedEOF) // closed without a byte
+	_, _, err := c.readResponse()
+	r.is.Equal(err, io.ErrUnexpectedEOF) // closed without a response
 	r.is.True(time.Since(begin) >= 2*time.Second)
 	r.is.True(time.Since(begin) < 5*time.Second)
 }
 
-// Guards against requests on one connection that mix: several in a row, and some
-// sent before the answer of the one before.
+// Guards against responses that are swapped or mixed between pipelined requests on one
+// connection.
 func TestPipelining(t *testing.T) {
-	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) { write(c, whole(200, idOf(r), "to "+idOf(r))) })
-	r := newRig(t, x).configured(1)
+	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) {
+		write(c, fullResponse(200, attemptID(r), "to "+attemptID(r)))
+	})
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("POST", "/order/1", "a", "x") + request("GET", "/look/2", "b", "") + request("POST", "/order/3", "c", "yy"))
 	for _, id := range []string{"a", "b", "c"} {
@@ -159,39 +161,40 @@
 	}
 }
 
-// Guards against keys that a newer configuration has taken away, or added, and
-// routes of an older one.
+// Guards against a new configuration that is not applied: replaced keys and routes must
+// not be accepted any more, and an unreadable configuration must not replace a valid one.
 func TestNewConfiguration(t *testing.T) {
-	r := newRig(t, newTarget(t, "t1", echo("ok"))).configured(1)
+	r := newRig(t, newTarget(t, "t1", respondWith("ok"))).configure(1)
 	c := r.dial()
 	c.send(request("GET", "/look/1", "id1", ""))
 	c.want(200, "ok")
 	newer := configOf(2)
 	newer.Routes[4].Prefix = "/gaze/"
 	newer.Workspaces["w"] = []string{"new"}
-	r.fleet.Install(apiView(2, newer.Document()))
+	r.fleet.Install(newView(2, newer.Document()))
 	c.send(request("GET", "/look/1", "id2", ""))
 	c.want(404, "*")
 	c.send(request("GET", "/gaze/1", "id3", ""))
 	c.want(200, "ok")
 	c.send(request("POST", "/chat/1", "id4", "x"))
 	c.want(401, "*")
-	r.fleet.Install(apiView(3, []byte("{"))) // a document that cannot be read leaves the one before in force
+	r.fleet.Install(newView(3, []byte("{"))) // unreadable: the previous configuration stays active
 	c.send(request("GET", "/gaze/1", "id5", ""))
 	c.want(200, "ok")
 }
 
-// Guards against a planned stop that cuts a request, refuses one, or stays ready.
+// Guards against a planned stop that aborts or refuses a request, or that leaves the
+// instance ready.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) {
 		if strings.Contains(r.URL.Path, "slow") {
 			<-release
 		}
-		write(c, whole(200, idOf(r), "ok"))
+		write(c, fullResponse(200, attemptID(r), "ok"))
 	})
-	r := newRig(t, x).configured(1)
-	r.is.Equal(r.gateway.notReady(), "")
+	r := newRig(t, x).configure(1)
+	r.is.Equal(r.gateway.notReadyReason(), "")
 	slow, idle := r.dial(), r.dial()
 	idle.send(request("GET", "/look/1", "id1", ""))
 	idle.want(200, "ok")
@@ -200,11 +203,11 @@
 	done := make(chan error, 1)
 	go func() { done <- r.gateway.Drain(context.Background()) }()
 	time.Sleep(50 * time.Millisecond)
-	r.is.True(r.gateway.notReady() != "")
-	idle.send(request("GET", "/look/2", "id3", "")) // an open connection is still served, and closed after
+	r.is.True(r.gateway.notReadyReason() != "")
+	idle.send(request("GET", "/look/2", "id3", "")) // an open connection is still served, then closed
 	resp := idle.want(200, "ok")
 	r.is.True(resp.Close)
-	fresh := r.dial() // the balancer has not noticed yet
+	fresh := r.dial() // the balancer may still send new connections
 	fresh.send(request("GET", "/look/3", "id4", ""))
 	fresh.want(200, "ok")
 	close(release)
@@ -212,37 +215,36 @@
 	r.is.NoErr(<-done)
 }
 
-// Guards against callers that are closed without an answer when too many
-// connections are open.
+// Guards against connections that are closed without a response when too many are open.
 func TestManyConnections(t *testing.T) {
-	r := newRig(t, newTarget(t, "t1", echo("ok")))
+	r := newRig(t, newTarget(t, "t1", respondWith("ok")))
 	r.gateway.conns.SetMost(20)
-	r.configured(1)
+	r.configure(1)
 	var open []*caller
 	for range 30 {
 		c := r.dial()
 		open = append(open, c)
 		c.send(request("GET", "/look/1", "id", ""))
 		c.want(200, "ok")
-		time.Sleep(15 * time.Millisecond) // so that the oldest are idle for long enough
+		time.Sleep(15 * time.Millisecond) // so that the oldest connections are idle for long enough
 	}
 	n, _ := r.gateway.conns.Count()
 	r.is.True(n <= 22)
 	last := open[len(open)-1]
-	_, _, err := last.answer()
-	r.is.True(err != nil) // its answer asked for the close
+	_, _, err := last.readResponse()
+	r.is.True(err != nil) // its response asked the caller to close
 }
 
-// Guards against an instance that runs out of memory: a burst at one instance of the
-// grown Quito fleet took 112 MiB before requests under way were bounded.
-func TestMemoryBound(t *testing.T) {
-	held := make(chan struct{})
+// Guards against an instance that runs out of memory: without a limit on the memory of
+// requests in progress, a burst at one instance took 112 MiB.
+func TestMemoryLimit(t *testing.T) {
+	release := make(chan struct{})
 	x := newTarget(t, "a", func(c net.Conn, r *http.Request, _ int) {
-		<-held
-		write(c, whole(200, idOf(r), "ok"))
+		<-release
+		write(c, fullResponse(200, attemptID(r), "ok"))
 	})
-	r := newRig(t, x).configured(1)
-	r.gateway.memory = overload.NewBytes(5 * (requestBytes + 100))
+	r := newRig(t, x).configure(1)
+	r.gateway.memory = overload.NewBytes(5 * (requestOverheadBytes + 100))
 	var first []*caller
 	for i := range 5 {
 		c := r.dial()
@@ -254,12 +256,12 @@
 	}
 	c := r.dial()
 	c.send(request("POST", "/look/1", "more", "b"))
-	resp, body, err := c.answer()
+	resp, body, err := c.readResponse()
 	r.is.NoErr(err)
 	r.is.Equal(resp.StatusCode, 503)
 	r.is.True(strings.Contains(body, codeMemoryFull))
 	r.is.True(resp.Header.Get("Retry-After") != "")
-	close(held)
+	close(release)
 	for _, c := range first {
 		c.want(200, "ok")
 	}
@@ -267,15 +269,15 @@
 	c.want(200, "ok")
 }
 
-// Guards against an instance that a flood of connections takes beyond its memory: none
-// of them is idle, so none can be closed to make room.
+// Guards against an instance that exceeds its memory because of too many connections
+// with a request in progress: none of them is idle and can be closed.
 func TestTooManyBusyConnections(t *testing.T) {
-	held := make(chan struct{})
+	release := make(chan struct{})
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) {
-		<-held
-		write(c, whole(200, idOf(r), "ok"))
+		<-release
+		write(c, fullResponse(200, attemptID(r), "ok"))
 	})
-	r := newRig(t, x).configured(1)
+	r := newRig(t, x).configure(1)
 	r.gateway.conns.SetMost(10)
 	var busy []*caller
 	for i := range 13 {
@@ -287,12 +289,12 @@
 		}
 	}
 	over := r.dial()
-	_, _, err := over.answer()
-	r.is.True(err != nil) // closed unread
+	_, _, err := over.readResponse()
+	r.is.True(err != nil) // closed without reading a request
 	n, _ := r.gateway.conns.Count()
 	r.is.Equal(n, 13)
 	r.is.Equal(r.gateway.conns.TurnedAway.Load(), uint64(1))
-	close(held)
+	close(release)
 	for _, c := range busy {
 		c.want(200, "ok")
 	}
--- a/plugin/gateway/drain.go
+++ b/plugin/gateway/drain.go
@@ -9,34 +9,37 @@
 )
 
 const (
-	// drainPoll is how often a planned stop looks at the open connections.
+	// drainPoll is the interval at which a planned stop checks the open connections.
 	drainPoll = 20 * time.Millisecond
-	// rotationTime is how long the balancer may still send new connections after
-	// the instance has said that it is not ready: two questions a second apart.
-	rotationTime = 2500 * time.Millisecond
-	// lastTaken is when a stopping instance takes its last request, or half of its time
-	// if that is less. Where the balancer has too few instances it sends callers here to
-	// the end, and a stream taken then would be cut; refused, it is served elsewhere.
-	lastTaken = 3 * time.Second
-	// stopMargin is left of the time after which the process is killed.
+	// deregistrationDelay is how long the load balancer may still send new connections
+	// after the instance reports that it is not ready: two readiness checks a second apart.
+	deregistrationDelay = 2500 * time.Millisecond
+	// drainAdmitTime is how long a draining instance still admits requests, or half of
+	// the stop time if that is shorter. A load balancer with too few ready instances sends
+	// requests until the process exits. A stream admitted late would be truncated; a
+	// refused one is retried on another instance.
+	drainAdmitTime = 3 * time.Second
+	// stopMargin is the time between the return of Drain and the kill of the process.
 	stopMargin = 300 * time.Millisecond
 )
 
-// Drain implements kernel.Drainer. Answers ask callers to close; connections are
-// accepted until the balancer has taken the instance out of rotation, and requests
-// until lastTaken; those under way are served as long as the process may run.
+// Drain implements kernel.Drainer. It reports the instance as not ready and asks callers
+// to close their connections. Requests are admitted for drainAdmitTime. Connections are
+// accepted for deregistrationDelay, and longer while new ones arrive. Drain returns nil
+// once all connections are closed or the stop time is over, and the context's error if
+// that ends first.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.draining.Store(true)
 	begin := g.clock.Now()
 	limit := settings.Ms(g.kernel.Settings.Routes.Bounds.StopMs) - stopMargin
 	closed := false
 	for g.clock.Now()-begin < limit {
-		if g.clock.Now()-begin >= min(lastTaken, limit/2) && !g.stopping.Swap(true) {
-			logqueue.Notice(g.log, "requests refused from now on", "step", "drain")
+		if g.clock.Now()-begin >= min(drainAdmitTime, limit/2) && !g.admissionClosed.Swap(true) {
+			logqueue.Notice(g.log, "refusing new requests", "step", "drain")
 		}
-		if !closed && g.clock.Now()-begin >= rotationTime && g.listener.Quiet() {
+		if !closed && g.clock.Now()-begin >= deregistrationDelay && g.listener.Quiet() {
 			closed = true
-			_ = g.listener.Close() // no caller is sent here any more
+			_ = g.listener.Close() // the balancer sends no more connections
 			logqueue.Notice(g.log, "listener closed", "step", "drain")
 		}
 		if closed {
@@ -53,6 +56,6 @@
 		}
 	}
 	open, busy := g.conns.Count()
-	g.log.Warn("stop with open connections", "step", "drain", "open", open, "busy", busy)
+	g.log.Warn("stopping with open connections", "step", "drain", "open", open, "busy", busy)
 	return nil
 }
--- a/plugin/gateway/handler.go
+++ b/plugin/gateway/handler.go
@@ -16,32 +16,32 @@
 	"nutmegrouter/internal/routing"
 )
 
-// handle serves one request.
+// handle admits one request, forwards it and writes the response or a refusal.
 func (g *Gateway) handle(ctx *fasthttp.RequestCtx) {
 	conn, ok := ctx.Conn().(*callerconn.Conn)
 	if !ok {
-		ctx.SetStatusCode(fasthttp.StatusInternalServerError) // only with another listener
+		ctx.SetStatusCode(fasthttp.StatusInternalServerError) // the connection is not from callerconn.Listener
 		return
 	}
 	defer conn.Served()
 	arrived := g.clock.Now() - time.Since(conn.Begin())
 	r, refusal := g.admit(ctx, arrived)
-	if refusal == nil && g.stopping.Load() {
-		refusal = refuse(fasthttp.StatusServiceUnavailable, codeStopping, "the instance stops")
-		refusal.RetryAfter = elsewhere
+	if refusal == nil && g.admissionClosed.Load() {
+		refusal = newRefusal(fasthttp.StatusServiceUnavailable, codeStopping, "the instance stops")
+		refusal.RetryAfter = retryAfterOtherInstance
 	}
 	if refusal == nil {
 		refusal = g.forwarder.Precheck(r)
 	}
 	if refusal == nil {
-		// Last: what is refused above takes little processor time.
-		if refusal = g.means(r); refusal != nil {
+		// Resources are reserved last, because the refusals above cost little processor time.
+		if refusal = g.reserve(r); refusal != nil {
 			g.forwarder.TurnedAway(r)
 		}
 	}
 	if refusal != nil {
-		g.refuse(ctx, refusal, r)
-		g.closeIfDraining(ctx)
+		g.writeRefusal(ctx, refusal, r)
+		g.closeIfDrainingOrCrowded(ctx)
 		return
 	}
 	g.stats.requests.Inc()
@@ -49,23 +49,24 @@
 		"service", r.Service, "workspace", r.Workspace, "version", g.table.Load().Version,
 		"prompt_tokens", r.Fields.PromptTokens, "output_tokens", r.Fields.OutputTokens, "left_ms", (r.Deadline - g.clock.Now()).Milliseconds())
 	r.Present = conn.Present
-	work, cancel := context.WithCancel(context.Background())
-	stop := conn.Watch(func() {
-		g.stats.gone.Inc()
+	workCtx, cancel := context.WithCancel(context.Background())
+	stopWatch := conn.Watch(func() {
+		g.stats.disconnected.Inc()
 		g.log.Info("caller left", "step", "caller", "request", r.ID, "after_ms", (g.clock.Now() - r.Arrived).Milliseconds())
 		cancel()
 	})
-	end := func() {
-		stop()
+	release := func() {
+		stopWatch()
 		cancel()
-		g.memory.Free(len(r.Body) + requestBytes)
+		g.memory.Free(len(r.Body) + requestOverheadBytes)
 	}
-	g.forward(ctx, work, r, end)
-	g.closeIfDraining(ctx)
+	g.forward(ctx, workCtx, r, release)
+	g.closeIfDrainingOrCrowded(ctx)
 }
 
-// admit checks a request and finds its route, workspace and service. The request
-// is never nil.
+// admit validates a request and resolves its route, workspace, service and deadline.
+// arrived is when its first byte was read, on the kernel clock. The returned request is
+// never nil, but incomplete if there is a refusal.
 func (g *Gateway) admit(ctx *fasthttp.RequestCtx, arrived time.Duration) (*api.ForwardRequest, *api.Refusal) {
 	h := &ctx.Request.Header
 	r := &api.ForwardRequest{Header: h, Arrived: arrived}
@@ -73,32 +74,32 @@
 	r.Fields, r.ID = fields, fields.ID
 	t := g.table.Load()
 	if t == nil {
-		return r, notReady("no configuration yet")
+		return r, notReadyRefusal("no configuration yet")
 	}
-	if refusal := checkHead(h, t.Callers); refusal != nil {
-		ctx.SetConnectionClose() // what follows may be the rest of this request
+	if refusal := checkHeader(h, t.Callers); refusal != nil {
+		ctx.SetConnectionClose() // the following bytes may belong to this request
 		return r, refusal
 	}
 	path, _, _ := strings.Cut(string(h.RequestURI()), "?")
 	if r.Route = t.Resolve(string(h.Host()), path); r.Route == nil {
-		return r, refuse(fasthttp.StatusNotFound, codeNoRoute, "no route has this host and path")
+		return r, newRefusal(fasthttp.StatusNotFound, codeNoRoute, "no route has this host and path")
 	}
 	if refusal := authorize(t, r); refusal != nil {
 		return r, refusal
 	}
 	if err != nil {
-		return r, refuse(fasthttp.StatusBadRequest, codeBadRequest, err.Error())
+		return r, newRefusal(fasthttp.StatusBadRequest, codeBadRequest, err.Error())
 	}
 	r.Body = ctx.Request.Body()
-	if limit := orDefault(t.Callers.BodyBytes, defaultBody); len(r.Body) > limit {
+	if limit := orDefault(t.Callers.BodyBytes, defaultBodyBytes); len(r.Body) > limit {
 		ctx.SetConnectionClose()
-		return r, refuse(fasthttp.StatusRequestEntityTooLarge, codeTooLarge, "the body exceeds the limit")
+		return r, newRefusal(fasthttp.StatusRequestEntityTooLarge, codeBodyTooLarge, "the body exceeds the limit")
 	}
 	r.Service = r.Route.Choose(rand.Float64())
 	if s := t.Services[r.Service]; s != nil {
 		r.Engine = s.Engine
 	}
-	r.Waited = g.patience.waited(r.Route.Name, fields.Deadline)
+	r.Waited = g.waitEstimator.earlierWait(r.Route.Name, fields.Deadline)
 	r.Deadline = arrived + r.Route.Timeout
 	if fields.Deadline > 0 {
 		r.Deadline = min(r.Deadline, arrived+fields.Deadline)
@@ -106,8 +107,8 @@
 	return r, nil
 }
 
-// authorize finds the workspace. A key on a public route is not needed, and an
-// unknown one does no harm there.
+// authorize sets the workspace that owns the bearer key, or returns a refusal. Public
+// routes, and configurations without workspaces, accept a missing or unknown key.
 func authorize(t *routing.Table, r *api.ForwardRequest) *api.Refusal {
 	if r.Fields.Key != "" {
 		if w := t.Workspace(r.Fields.Key); w != nil {
@@ -118,86 +119,89 @@
 	if r.Route.Public || len(t.Workspaces) == 0 {
 		return nil
 	}
-	return refuse(fasthttp.StatusUnauthorized, codeUnauthorized, "the key is missing or unknown")
+	return newRefusal(fasthttp.StatusUnauthorized, codeUnauthorized, "the key is missing or unknown")
 }
 
-// forward has the request served and writes the answer. It calls end once the
-// caller need not be watched any more.
-func (g *Gateway) forward(ctx *fasthttp.RequestCtx, work context.Context, r *api.ForwardRequest, end func()) {
-	ans, err := g.forwarder.Forward(work, r)
+// forward sends the request to a target and writes the response. workCtx ends when the
+// caller disconnects. release is called once the request no longer needs its resources
+// and the watch of the caller's connection.
+func (g *Gateway) forward(ctx *fasthttp.RequestCtx, workCtx context.Context, r *api.ForwardRequest, release func()) {
+	resp, err := g.forwarder.Forward(workCtx, r)
 	if err != nil {
-		end()
+		release()
 		if errors.Is(err, context.Canceled) {
-			ctx.SetConnectionClose() // nobody reads an answer
-			ctx.SetStatusCode(statusGone)
+			ctx.SetConnectionClose() // the caller has disconnected
+			ctx.SetStatusCode(statusClientClosedRequest)
 			return
 		}
-		g.refuse(ctx, asRefusal(err), r)
+		g.writeRefusal(ctx, asRefusal(err), r)
 		return
 	}
-	ans.Header().CopyTo(&ctx.Response.Header)
+	resp.Header().CopyTo(&ctx.Response.Header)
 	exchange.StripAnswer(&ctx.Response.Header)
-	if body, ok := ans.Whole(); ok {
-		g.forwardWhole(ctx, r, ans, body, end)
+	if body, ok := resp.Whole(); ok {
+		g.writeBuffered(ctx, r, resp, body, release)
 		return
 	}
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.Response.SetBodyStream(&body{g: g, ans: ans, end: end, id: r.ID}, -1)
+	ctx.Response.SetBodyStream(&responseBody{gateway: g, resp: resp, release: release, id: r.ID}, -1)
 }
 
-// forwardWhole writes an answer that was read to its end. The memory of a long one counts
-// until its caller has read it.
-func (g *Gateway) forwardWhole(ctx *fasthttp.RequestCtx, r *api.ForwardRequest, ans api.ForwardAnswer, content []byte, end func()) {
-	head := r.Route != nil && string(ctx.Method()) == fasthttp.MethodHead
-	if len(content) > uncounted && !head {
-		ctx.Response.SetBodyStream(&body{g: g, ans: ans, end: end, id: r.ID}, len(content))
+// writeBuffered writes a response whose body has been read completely. The memory of a
+// response above maxUncountedResponse stays reserved until it has been written.
+func (g *Gateway) writeBuffered(ctx *fasthttp.RequestCtx, r *api.ForwardRequest, resp api.ForwardAnswer, content []byte, release func()) {
+	isHead := r.Route != nil && string(ctx.Method()) == fasthttp.MethodHead
+	if len(content) > maxUncountedResponse && !isHead {
+		ctx.Response.SetBodyStream(&responseBody{gateway: g, resp: resp, release: release, id: r.ID}, len(content))
 		return
 	}
-	end()
+	release()
 	ctx.Response.SetBodyRaw(content)
-	ctx.Response.SkipBody = head
-	_ = ans.Close() // the answer was read to its end
+	ctx.Response.SkipBody = isHead
+	_ = resp.Close() // the body has been read completely
 }
 
-// uncounted is the size of an answer up to which its memory is the connection's.
-const uncounted = 16 << 10 // bytes
+// maxUncountedResponse is the size up to which the memory of a response counts as part of
+// its connection and is not reserved while it is written.
+const maxUncountedResponse = 16 << 10 // bytes
 
-// closeIfDraining asks the caller to use another connection for its next request:
-// at another instance during a planned stop, and at any if too many are open.
-func (g *Gateway) closeIfDraining(ctx *fasthttp.RequestCtx) {
+// closeIfDrainingOrCrowded asks the caller to open a new connection for its next
+// request. During a planned stop the load balancer sends it to another instance; if
+// many connections are open, it frees one of them.
+func (g *Gateway) closeIfDrainingOrCrowded(ctx *fasthttp.RequestCtx) {
 	if g.draining.Load() || g.conns.Crowded() {
 		ctx.SetConnectionClose()
 	}
 }
 
-// body passes an answer on as it arrives. A failure ends it with an error, for
-// which fasthttp closes the connection without an end mark, so that a cut answer
-// never looks whole.
-type body struct {
-	g      *Gateway
-	ans    api.ForwardAnswer
-	end    func()
-	id     string
-	closed bool
+// responseBody streams a target's response body to the caller. On a read error fasthttp
+// closes the connection without the last chunk, so that a truncated response never looks
+// complete.
+type responseBody struct {
+	gateway *Gateway
+	resp    api.ForwardAnswer
+	release func()
+	id      string
+	closed  bool
 }
 
-// Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.ans.Read(p)
+// Read implements io.Reader. It logs and counts truncated responses.
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.resp.Read(p)
 	if err != nil && err != io.EOF {
-		b.g.stats.cut.Inc()
-		b.g.log.Warn("answer cut", "step", "caller", "request", b.id, "error", err)
+		b.gateway.stats.truncated.Inc()
+		b.gateway.log.Warn("answer cut", "step", "caller", "request", b.id, "error", err)
 	}
 	return n, err
 }
 
 // Close implements io.Closer. fasthttp calls it after the last read.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	err := b.ans.Close()
-	b.end()
+	err := b.resp.Close()
+	b.release()
 	return err
 }
--- a/plugin/gateway/load.go
+++ b/plugin/gateway/load.go
@@ -13,12 +13,12 @@
 	"nutmegrouter/internal/overload"
 )
 
-// elsewhere is the advice to callers of an instance that stops or has no processor time.
-// It is short, because the instance is not ready meanwhile and a new connection reaches
-// another one.
-const elsewhere = 50 * time.Millisecond
+// retryAfterOtherInstance is the Retry-After of an instance that is stopping or has no
+// processor time left. It is short, because that instance reports itself as not ready
+// and a new connection reaches another one.
+const retryAfterOtherInstance = 50 * time.Millisecond
 
-// loadGate shares the gate among the handlers of requests.
+// loadGate makes an overload.Gate safe for concurrent use.
 type loadGate struct {
 	mu   sync.Mutex
 	gate *overload.Gate
@@ -26,57 +26,60 @@
 
 func newLoadGate() *loadGate { return &loadGate{gate: overload.New()} }
 
-// allow returns the refusal of a request for which the instance has no processor
-// time, or nil.
+// allow counts a request of a workspace. It returns a refusal if the instance has no
+// processor time for it, or nil.
 func (l *loadGate) allow(workspace string) *api.Refusal {
 	l.mu.Lock()
-	ok, rate, late := l.gate.Allow(workspace), l.gate.Rate(), l.gate.Late()
+	ok, rate, delay := l.gate.Allow(workspace), l.gate.Rate(), l.gate.Late()
 	l.mu.Unlock()
 	if ok {
 		return nil
 	}
-	r := refuse(fasthttp.StatusServiceUnavailable, codeBusy, "the instance has no processor time left for the workspace")
-	r.RetryAfter = elsewhere
-	r.Inputs = []any{"rate", int(rate), "late_ms", late.Milliseconds()}
+	r := newRefusal(fasthttp.StatusServiceUnavailable, codeBusy, "the instance has no processor time left for the workspace")
+	r.RetryAfter = retryAfterOtherInstance
+	r.Inputs = []any{"rate", int(rate), "late_ms", delay.Milliseconds()}
 	return r
 }
 
-// loadState is what the gate makes of the load: whether the rate is bounded, and
-// whether new callers are better off at another instance.
-type loadState struct{ bounded, shedding bool }
+// loadState is the state of the gate: rateLimited if the request rate is limited, and
+// shedding if requests were shed recently.
+type loadState struct{ rateLimited, shedding bool }
 
-// tick ends a period and reports whether the state has changed.
-func (l *loadGate) tick(took time.Duration) (now loadState, changed bool) {
+// tick ends a measuring period of the given length. It returns the state after it, and
+// whether it differs from the state before.
+func (l *loadGate) tick(elapsed time.Duration) (after loadState, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.state()
-	l.gate.Tick(took)
+	l.gate.Tick(elapsed)
 	return l.state(), l.state() != before
 }
 
-// state must be called with the lock held.
+// state returns the state of the gate. l.mu must be held.
 func (l *loadGate) state() loadState { return loadState{l.gate.Bounded(), l.gate.Shedding()} }
 
-// shedding reports whether new callers are better off at another instance.
+// shedding reports whether requests were shed recently, so that new connections should
+// go to other instances.
 func (l *loadGate) shedding() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.gate.Shedding()
 }
 
-// lateness returns the mean lateness of the ticks.
-func (l *loadGate) lateness() time.Duration {
+// schedulingDelay returns the mean delay of the ticks, a measure of how long ready work
+// waits for the processor.
+func (l *loadGate) schedulingDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.gate.Late()
 }
 
-// watchLoad measures how late this duty runs, which is how long work waits for the
-// processor. The runtime runs the goroutine of a timer before all others that are
-// ready, so each tick goes once more to the end of their queue: with 2,000 connections
-// the timer alone came 1 ms late while requests waited for 200 ms. The timer is set
-// anew after each tick: the ticks of a ticker keep their distance where all of them
-// come equally late.
+// watchLoad feeds the gate with the time between ticks, from which it derives how long
+// ready goroutines wait for the processor. The runtime runs a timer's goroutine ahead of
+// the run queue, so each tick yields once to queue behind the other goroutines: with
+// 2,000 connections the timer alone was 1 ms late while requests waited for 200 ms. The
+// timer is reset after each tick, because the interval of a ticker does not grow if all
+// of its ticks are delayed equally.
 func (g *Gateway) watchLoad(ctx context.Context) error {
 	timer := time.NewTimer(overload.Period)
 	defer timer.Stop()
@@ -90,29 +93,31 @@
 		runtime.Gosched()
 		now := time.Now()
 		if state, changed := g.load.tick(now.Sub(last)); changed {
-			logqueue.Notice(g.log, "processor overload", "step", "load", "bounded", state.bounded, "shedding", state.shedding,
-				"late_ms", g.load.lateness().Milliseconds())
+			logqueue.Notice(g.log, "processor overload", "step", "load", "bounded", state.rateLimited, "shedding", state.shedding,
+				"late_ms", g.load.schedulingDelay().Milliseconds())
 		}
 		last = now
 		timer.Reset(overload.Period)
 	}
 }
 
-// means takes processor time and memory for a request, or returns why there is none.
-func (g *Gateway) means(r *api.ForwardRequest) *api.Refusal {
+// reserve reserves processor time and memory for a request. It returns a refusal if
+// either is exhausted, or nil.
+func (g *Gateway) reserve(r *api.ForwardRequest) *api.Refusal {
 	if refusal := g.load.allow(r.Workspace); refusal != nil {
 		return refusal
 	}
-	return g.takeMemory(len(r.Body))
+	return g.reserveMemory(len(r.Body))
 }
 
-// takeMemory counts a request with a body of so many bytes. A body is kept until its
-// answer has ended, because a further attempt sends it again.
-func (g *Gateway) takeMemory(body int) *api.Refusal {
-	if g.memory.Take(body + requestBytes) {
+// reserveMemory reserves the memory of a request with a body of bodyBytes. It returns a
+// refusal if the limit is reached, or nil. The memory is held until the response has
+// ended, because another attempt sends the body again.
+func (g *Gateway) reserveMemory(bodyBytes int) *api.Refusal {
+	if g.memory.Take(bodyBytes + requestOverheadBytes) {
 		return nil
 	}
-	r := refuse(fasthttp.StatusServiceUnavailable, codeMemoryFull, "the requests under way take all memory for requests")
-	r.RetryAfter = comeBack
+	r := newRefusal(fasthttp.StatusServiceUnavailable, codeMemoryFull, "the requests under way take all memory for requests")
+	r.RetryAfter = retryAfterDefault
 	return r
 }
--- a/plugin/gateway/load_test.go
+++ b/plugin/gateway/load_test.go
@@ -18,15 +18,15 @@
 	"nutmegrouter/internal/overload"
 )
 
-// Guards against an instance without processor time that accepts requests which it
-// cannot serve in time, while the retry of a refused one would reach another instance.
+// Guards against an instance without processor time that admits requests which miss
+// their deadline, whereas the retry of a refused one would reach another instance.
 func TestRefusesWithoutProcessorTime(t *testing.T) {
-	x := newTarget(t, "t1", echo("ok"))
-	r := newRig(t, x).configured(1)
+	x := newTarget(t, "t1", respondWith("ok"))
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("POST", "/look/1", "a1", "x"))
 	c.want(http.StatusOK, "ok")
-	for range 20 { // the processor is late and one request a period is wanted
+	for range 20 { // ticks are late, with one request in each period
 		r.gateway.load.allow("w")
 		r.gateway.load.tick(overload.Period + 100*time.Millisecond)
 	}
@@ -34,7 +34,7 @@
 	var body string
 	for n := 0; refused == nil && n < 50; n++ {
 		c.send(request("POST", "/look/1", "b", "x"))
-		a, text, err := c.answer()
+		a, text, err := c.readResponse()
 		r.is.NoErr(err)
 		if a.StatusCode != http.StatusOK {
 			refused, body = a, text
@@ -46,22 +46,21 @@
 	r.is.Equal(refused.Header.Get("Retry-After"), "0.050")
 }
 
-// Guards against a balancer that goes on sending new callers to an instance that
-// refuses requests for want of processor time: on the grown Amman site the callers that
-// came again met the same saturated instance.
+// Guards against an instance that stays ready while it sheds requests for lack of
+// processor time: the balancer then sends retries to the same saturated instance.
 func TestNotReadyWithoutProcessorTime(t *testing.T) {
-	r := newRig(t).configured(1)
-	r.is.Equal(r.gateway.notReady(), "")
+	r := newRig(t).configure(1)
+	r.is.Equal(r.gateway.notReadyReason(), "")
 	for r.gateway.load.allow("w") == nil {
 	}
-	r.until("no processor time left", func() bool { return r.gateway.notReady() == "no processor time left" })
-	r.until("ready again", func() bool { return r.gateway.notReady() == "" }) // after a second without a refusal
+	r.waitUntil("no processor time left", func() bool { return r.gateway.notReadyReason() == "no processor time left" })
+	r.waitUntil("ready again", func() bool { return r.gateway.notReadyReason() == "" }) // after a second without a refusal
 }
 
-// Guards against a measure that is blind to the work that waits for the processor: the
-// runtime runs a timer's goroutine first, however many others are ready. Here each of
-// them waits for about 120 ms.
-func TestLoadCountsReadyWork(t *testing.T) {
+// Guards against a load measurement that does not see ready goroutines: the runtime runs
+// a timer's goroutine ahead of them, however many there are. Here each of them waits for
+// about 120 ms.
+func TestLoadMeasuresRunQueueDelay(t *testing.T) {
 	g := &Gateway{load: newLoadGate(), log: slog.New(slog.DiscardHandler)}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,36 +77,36 @@
 	}
 	busy.Go(func() error { return g.watchLoad(ctx) })
 	time.Sleep(3 * time.Second)
-	late := g.load.lateness()
+	delay := g.load.schedulingDelay()
 	cancel()
-	_ = busy.Wait() // the canceled context
-	t.Logf("ticks come %v late", late)
-	is.New(t).True(late > 50*time.Millisecond)
+	_ = busy.Wait() // returns the context's error
+	t.Logf("scheduling delay %v", delay)
+	is.New(t).True(delay > 50*time.Millisecond)
 }
 
-// Guards against a stopping instance that takes requests to its end and cuts them: on
-// the Quito site the balancer had too few instances left and sent a request 7.3 s after
-// SIGTERM; its stream was cut 0.5 s later.
-func TestStopTakesNoLateRequest(t *testing.T) {
-	x := newTarget(t, "t1", echo("ok"))
-	r := newRig(t, x).configured(1)
+// Guards against a draining instance that admits requests until the process exits and
+// truncates their responses: a balancer with too few ready instances sent a request 7.3 s
+// after SIGTERM, and its stream was truncated 0.5 s later.
+func TestDrainRefusesLateRequests(t *testing.T) {
+	x := newTarget(t, "t1", respondWith("ok"))
+	r := newRig(t, x).configure(1)
 	done := make(chan error, 1)
 	go func() { done <- r.gateway.Drain(context.Background()) }()
 	begin := time.Now()
 	served, refused := 0, 0
-	for i := 0; time.Since(begin) < lastTaken+500*time.Millisecond; i++ { // callers keep coming
+	for i := 0; time.Since(begin) < drainAdmitTime+500*time.Millisecond; i++ { // new callers keep connecting
 		c, err := net.Dial("tcp", r.gateway.listener.Addr().String())
 		if err != nil {
-			break // the listener may close once nobody comes
+			break // the listener may close when no connection arrives for a while
 		}
 		one := &caller{t, c, bufio.NewReader(c)}
 		one.send(request("GET", "/look/1", fmt.Sprintf("id%d", i), ""))
-		a, body, err := one.answer()
-		r.is.NoErr(err) // never cut
+		a, body, err := one.readResponse()
+		r.is.NoErr(err) // never closed without a response
 		c.Close()
 		if a.StatusCode == http.StatusOK {
 			served++
-			r.is.True(time.Since(begin) < lastTaken+200*time.Millisecond)
+			r.is.True(time.Since(begin) < drainAdmitTime+200*time.Millisecond)
 		} else {
 			refused++
 			r.is.True(strings.Contains(body, codeStopping))
@@ -118,12 +117,11 @@
 	r.is.NoErr(<-done)
 }
 
-// Guards against requests that a saturated instance refuses and of which the owner of the
-// placements does not know: on large Amman scale-2 a workspace whose callers met saturated
-// instances counted as one that gets most of what it asks for, and another one got 2.4
-// times as much.
-func TestBusyRefusalsAreTold(t *testing.T) {
-	r := newRig(t, newTarget(t, "t1", echo("ok"))).configured(1)
+// Guards against shed requests that are not reported to the placer: the owner then took
+// the demand of a workspace whose callers reach saturated instances for mostly met, and
+// gave another workspace 2.4 times as much.
+func TestShedRequestsAreReported(t *testing.T) {
+	r := newRig(t, newTarget(t, "t1", respondWith("ok"))).configure(1)
 	for range 20 {
 		r.gateway.load.allow("w")
 		r.gateway.load.tick(overload.Period + 100*time.Millisecond)
@@ -134,10 +132,10 @@
 		id := fmt.Sprint("id", n)
 		path := "/chat/1"
 		if n%5 == 4 {
-			path = "/order/1" // asks for no share of the tokens
+			path = "/order/1" // a plain service: uses no tokens
 		}
 		c.send(request("POST", path, id, "x"))
-		resp, body, err := c.answer()
+		resp, body, err := c.readResponse()
 		r.is.NoErr(err)
 		if resp.StatusCode == http.StatusServiceUnavailable && strings.Contains(body, codeBusy) && path == "/chat/1" {
 			want = append(want, id)
@@ -146,5 +144,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.is.True(len(want) > 0)
-	r.is.Equal(r.turnedAway, want)
+	r.is.Equal(r.shed, want)
 }
--- a/plugin/gateway/logs_test.go
+++ b/plugin/gateway/logs_test.go
@@ -14,27 +14,27 @@
 	"nutmegrouter/platform/standin"
 )
 
-// Guards against a key, a prompt or a body in a log line, on the way of a request that
-// is served, refused, repeated, cut and malformed.
+// Guards against a key, a prompt or a body in a log line of a request that is served,
+// refused, retried, truncated or malformed.
 func TestNoSecretInLogLines(t *testing.T) {
-	const secretBody, secretAnswer, secretPart, secretKey = "body-7f1c", "answer-2b9d", "c0ffee77", "unknown-key-55aa"
+	const secretBody, secretResponse, secretPart, secretKey = "body-7f1c", "answer-2b9d", "c0ffee77", "unknown-key-55aa"
 	script := func(c net.Conn, r *http.Request, n int) {
 		switch {
 		case strings.HasPrefix(r.URL.Path, "/draft"):
-			write(c, streamHead(idOf(r))+chunk("id: 1\ndata: "+secretAnswer+"\n\n"))
-			reset(c)
+			write(c, streamHeader(attemptID(r))+chunk("id: 1\ndata: "+secretResponse+"\n\n"))
+			resetConn(c)
 		case n%2 == 0:
-			write(c, whole(500, idOf(r), secretAnswer))
+			write(c, fullResponse(500, attemptID(r), secretResponse))
 		default:
-			write(c, whole(200, idOf(r), secretAnswer))
+			write(c, fullResponse(200, attemptID(r), secretResponse))
 		}
 	}
-	r := newRig(t, newTarget(t, "t1", script), newTarget(t, "t2", script)).configured(1)
+	r := newRig(t, newTarget(t, "t1", script), newTarget(t, "t2", script)).configure(1)
 	prompt := standin.HeaderPrompt + ": " + secretPart + ":10"
 	send := func(text string) {
 		c := r.dial()
 		c.send(text)
-		_, _, _ = c.answer() // what the caller gets is tested elsewhere
+		_, _, _ = c.readResponse() // other tests check the response
 	}
 	for range 2 {
 		send(request("POST", "/look/1", "a1", secretBody, prompt))
@@ -44,32 +44,31 @@
 	send("POST /chat/1 HTTP/1.1\r\nHost: f.example\r\n" + standin.HeaderAttempt + ": a4\r\nAuthorization: Bearer " + secretKey + "\r\nContent-Length: 9\r\n\r\n" + secretBody)
 	send("POST /look/1 HTTP/1.1\r\nHost: f.example\r\nAuthorization: Bearer " + secretKey + "\r\nContent-Length: x" + secretBody + "\r\n\r\n")
 	send(request("POST", "/nothing/1", "a5", secretBody))
-	logged := r.lines.String()
+	logged := r.logs.String()
 	for _, msg := range []string{"admitted", "sent", "answered", "refused", "attempt failed"} {
-		r.is.True(strings.Contains(logged, msg)) // the lines were made
+		r.is.True(strings.Contains(logged, msg)) // each kind of line was logged
 	}
-	for _, secret := range []string{secretBody, secretAnswer, secretPart, secretKey, "Bearer"} {
+	for _, secret := range []string{secretBody, secretResponse, secretPart, secretKey, "Bearer"} {
 		if strings.Contains(logged, secret) {
-			t.Errorf("%q stands in a log line", secret)
+			t.Errorf("%q was logged", secret)
 		}
 	}
 }
 
-// Guards against a failed request whose cause cannot be found from its id: the steps of
-// docs/OPERATIONS.md, for a request refused under load, one broken off midway and one
-// answered late.
+// Guards against a failed request whose cause cannot be found from its id with the steps
+// of docs/OPERATIONS.md: one shed under load, one whose stream broke, and a slow one.
 func TestFailuresAreExplained(t *testing.T) {
 	slow := 300 * time.Millisecond
 	script := func(c net.Conn, r *http.Request, _ int) {
 		if strings.HasPrefix(r.URL.Path, "/chat") {
-			write(c, streamHead(idOf(r))+chunk(event(1)))
-			reset(c)
+			write(c, streamHeader(attemptID(r))+chunk(event(1)))
+			resetConn(c)
 			return
 		}
 		time.Sleep(slow)
-		write(c, whole(200, idOf(r), "ok"))
+		write(c, fullResponse(200, attemptID(r), "ok"))
 	}
-	r := newRig(t, newTarget(t, "t1", script)).configured(1)
+	r := newRig(t, newTarget(t, "t1", script)).configure(1)
 	for range 20 {
 		r.gateway.load.allow("w")
 		r.gateway.load.tick(overload.Period + 100*time.Millisecond)
@@ -80,22 +79,22 @@
 	refusedID := ""
 	for begin := time.Now(); refusedID == ""; time.Sleep(time.Millisecond) {
 		r.is.True(time.Since(begin) < 5*time.Second)
-		if line := regexp.MustCompile(`.*"code":"` + codeBusy + `".*\n`).FindString(r.lines.String()); line != "" {
+		if line := regexp.MustCompile(`.*"code":"` + codeBusy + `".*\n`).FindString(r.logs.String()); line != "" {
 			refusedID = regexp.MustCompile(`"request":"(load\d+)"`).FindStringSubmatch(line)[1]
 		}
 	}
 	r.gateway.load.mu.Lock()
 	r.gateway.load.gate = overload.New()
 	r.gateway.load.mu.Unlock()
-	broken, late := r.dial(), r.dial()
-	broken.send(request("POST", "/chat/1", "broken1", "x"))
-	_, _, _ = broken.answer()
-	late.send(request("GET", "/look/1", "late1", ""))
-	late.want(http.StatusOK, "ok")
+	brokenCaller, slowCaller := r.dial(), r.dial()
+	brokenCaller.send(request("POST", "/chat/1", "broken1", "x"))
+	_, _, _ = brokenCaller.readResponse()
+	slowCaller.send(request("GET", "/look/1", "slow1", ""))
+	slowCaller.want(http.StatusOK, "ok")
 
 	story := func(id string) explain.Story {
 		reader := explain.NewReader(id)
-		r.is.NoErr(reader.Read(strings.NewReader(r.lines.String())))
+		r.is.NoErr(reader.Read(strings.NewReader(r.logs.String())))
 		return reader.Story()
 	}
 	field := func(s explain.Story, msg, name string) any {
@@ -107,18 +106,18 @@
 		t.Errorf("no line %q of %s has %s", msg, s.Request, name)
 		return nil
 	}
-	// Refused under load: the code names the bound, the inputs its figures.
+	// Shed under load: the code names the limit, the inputs give its values.
 	s := story(refusedID)
 	r.is.Equal(field(s, "refused", "code"), codeBusy)
 	r.is.True(field(s, "refused", "late_ms") != nil)
 	r.is.Equal(field(s, "refused", "run"), "not-run")
-	// Broken off midway: which target, after how many events, and why no other went on.
+	// Broken stream: which target, after how many events, and why it was not resumed.
 	s = story("broken1")
 	r.is.Equal(field(s, "attempt failed", "target"), "t1")
 	r.is.Equal(field(s, "stream broken", "events"), 1.0)
 	r.is.True(field(s, "stream broken", "why") != "")
-	// Answered late: where the time went.
-	s = story("late1")
+	// Slow response: where the time was spent.
+	s = story("slow1")
 	r.is.Equal(field(s, "sent", "target"), "t1")
 	r.is.True(field(s, "answered", "took_ms").(float64) >= float64(slow.Milliseconds()))
 }
--- a/plugin/gateway/ready.go
+++ b/plugin/gateway/ready.go
@@ -11,11 +11,11 @@
 	"nutmegrouter/internal/logqueue"
 )
 
-// startReady serves the balancer's question for readiness.
+// startReady starts the HTTP server for the load balancer's readiness checks.
 func (g *Gateway) startReady(d *kernel.Duties) error {
 	ln, err := net.Listen("tcp", g.kernel.Settings.Routes.Ready)
 	if err != nil {
-		return errors.WithMessage(err, "listen for the balancer")
+		return errors.WithMessage(err, "listen for readiness checks")
 	}
 	s := &fasthttp.Server{
 		Handler: g.handleReady, NoDefaultServerHeader: true, NoDefaultDate: true, Logger: logqueue.Discard{},
@@ -25,19 +25,22 @@
 	return nil
 }
 
+// handleReady responds to the readiness path with 200 if the instance is ready, and with
+// 503 and the reason if it is not.
 func (g *Gateway) handleReady(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != g.dialect.ReadyPath() {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	if why := g.notReady(); why != "" {
+	if reason := g.notReadyReason(); reason != "" {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-		ctx.SetBodyString(why + "\n")
+		ctx.SetBodyString(reason + "\n")
 	}
 }
 
-// notReady tells why callers should not be sent here, or "".
-func (g *Gateway) notReady() string {
+// notReadyReason returns why the load balancer should send no callers to this instance,
+// or "" if it is ready.
+func (g *Gateway) notReadyReason() string {
 	switch {
 	case g.draining.Load():
 		return "stopping"
--- a/plugin/gateway/refuse.go
+++ b/plugin/gateway/refuse.go
@@ -11,51 +11,52 @@
 	"nutmegrouter/internal/callerconn"
 )
 
-// Codes of refusals that this plug-in makes. They are stable words for callers.
+// Refusal codes of this plug-in. They are part of the API for callers.
 const (
-	codeBadRequest   = "bad_request"
-	codeUnauthorized = "unauthorized"
-	codeNoRoute      = "no_route"
-	codeTooLarge     = "body_too_large"
-	codeHeadLarge    = "head_too_large"
-	codeTimeout      = "request_timeout"
-	codeNotReady     = "not_ready"
-	codeMemoryFull   = "memory_full"
-	codeBusy         = "instance_busy"
-	codeStopping     = "stopping"
-	codeInternal     = "internal_error"
+	codeBadRequest     = "bad_request"
+	codeUnauthorized   = "unauthorized"
+	codeNoRoute        = "no_route"
+	codeBodyTooLarge   = "body_too_large"
+	codeHeadTooLarge   = "head_too_large"
+	codeRequestTimeout = "request_timeout"
+	codeNotReady       = "not_ready"
+	codeMemoryFull     = "memory_full"
+	codeBusy           = "instance_busy"
+	codeStopping       = "stopping"
+	codeInternal       = "internal_error"
 )
 
-// statusGone is the status of requests whose caller went away; nobody reads it.
-const statusGone = 499
+// statusClientClosedRequest is the status set after the caller has disconnected; nobody
+// receives it.
+const statusClientClosedRequest = 499
 
-// comeBack is the advice to callers of an instance that is not ready or has no
+// retryAfterDefault is the Retry-After of an instance that has no configuration yet or no
 // memory left.
-const comeBack = 300 * time.Millisecond
+const retryAfterDefault = 300 * time.Millisecond
 
-// refuse makes a refusal of a request that was not passed on.
-func refuse(status int, code, message string) *api.Refusal {
+// newRefusal returns the refusal of a request that was not sent to a target.
+func newRefusal(status int, code, message string) *api.Refusal {
 	return &api.Refusal{Code: code, Message: message, Status: status, Run: api.NotRun, Step: "admit"}
 }
 
 func badRequest(message string) *api.Refusal {
-	return refuse(fasthttp.StatusBadRequest, codeBadRequest, message)
+	return newRefusal(fasthttp.StatusBadRequest, codeBadRequest, message)
 }
 
-func notReady(message string) *api.Refusal {
-	r := refuse(fasthttp.StatusServiceUnavailable, codeNotReady, message)
-	r.RetryAfter = comeBack
+func notReadyRefusal(message string) *api.Refusal {
+	r := newRefusal(fasthttp.StatusServiceUnavailable, codeNotReady, message)
+	r.RetryAfter = retryAfterDefault
 	return r
 }
 
-// asRefusal makes a refusal of any error. An error without a type says nothing
-// about whether the request was run.
+// asRefusal returns the refusal in an error's chain. Any other error becomes an internal
+// error with an unknown run state, because a target may have executed the request.
 func asRefusal(err error) *api.Refusal {
 	var r *api.Refusal
 	if errors.As(err, &r) {
 		return r
 	}
-	r = refuse(fasthttp.StatusBadGateway, codeInternal, "internal error")
+	r = newRefusal(fasthttp.StatusBadGateway, codeInternal, "internal error")
 	r.Run = api.RunUnknown
 	return r
 }
@@ -67,15 +68,15 @@
 	Run     api.RunState `json:"run"`
 }
 
-// refuse answers with a refusal.
-func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, r *api.Refusal, req *api.ForwardRequest) {
-	g.stats.refusal(r.Code)
+// writeRefusal logs and counts a refusal and writes it as the response.
+func (g *Gateway) writeRefusal(ctx *fasthttp.RequestCtx, r *api.Refusal, req *api.ForwardRequest) {
+	g.stats.countRefusal(r.Code)
 	g.log.Warn("refused", append([]any{"step", r.Step, "request", req.ID, "workspace", req.Workspace, "code", r.Code, "status", r.Status,
 		"run", string(r.Run), "reason", r.Message, "retry_after_ms", r.RetryAfter.Milliseconds(),
 		"after_ms", (g.clock.Now() - req.Arrived).Milliseconds()}, r.Inputs...)...)
 	body, err := json.Marshal(refusalBody{r.Code, r.Message, r.Run})
 	if err != nil {
-		body = []byte(`{"code":"internal_error"}`) // strings always encode
+		body = []byte(`{"code":"internal_error"}`) // not reached: strings can always be encoded
 	}
 	ctx.Response.Reset()
 	ctx.Response.Header.SetNoDefaultContentType(true)
@@ -85,25 +86,27 @@
 	ctx.Response.SetBody(body)
 }
 
-// handleMalformed answers a request that fasthttp could not read. The rest of the
-// request is discarded for a moment so that the caller gets the refusal.
+// handleMalformed refuses a request that fasthttp could not read. The connection lingers
+// and discards the rest of the request: closing it with unread bytes would reset it, and
+// the caller would lose the refusal.
 func (g *Gateway) handleMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r := badRequest("the request is malformed")
 	switch callerconn.ReadFaultOf(err) {
 	case callerconn.BodyTooLarge:
-		r = refuse(fasthttp.StatusRequestEntityTooLarge, codeTooLarge, "the body exceeds the limit")
+		r = newRefusal(fasthttp.StatusRequestEntityTooLarge, codeBodyTooLarge, "the body exceeds the limit")
 	case callerconn.HeadTooLarge:
-		r = refuse(fasthttp.StatusRequestHeaderFieldsTooLarge, codeHeadLarge, "the head exceeds the limit")
+		r = newRefusal(fasthttp.StatusRequestHeaderFieldsTooLarge, codeHeadTooLarge, "the head exceeds the limit")
 	case callerconn.TimedOut:
-		r = refuse(fasthttp.StatusRequestTimeout, codeTimeout, "the request did not arrive in time")
+		r = newRefusal(fasthttp.StatusRequestTimeout, codeRequestTimeout, "the request did not arrive in time")
 	}
 	if c, ok := ctx.Conn().(*callerconn.Conn); ok {
 		c.LingerOnClose()
 	}
-	g.refuse(ctx, r, &api.ForwardRequest{Arrived: g.clock.Now()})
+	g.writeRefusal(ctx, r, &api.ForwardRequest{Arrived: g.clock.Now()})
 }
 
-// headReceived bounds the body before it is read.
-func (g *Gateway) headReceived(*fasthttp.RequestHeader) fasthttp.RequestConfig {
-	return fasthttp.RequestConfig{MaxRequestBodySize: orDefault(g.limits().BodyBytes, defaultBody) + 1}
+// limitBody sets the maximum size of a request's body before the body is read. admit
+// refuses a body one byte above the configured size, handleMalformed a longer one.
+func (g *Gateway) limitBody(*fasthttp.RequestHeader) fasthttp.RequestConfig {
+	return fasthttp.RequestConfig{MaxRequestBodySize: orDefault(g.callerLimits().BodyBytes, defaultBodyBytes) + 1}
 }
--- a/plugin/gateway/rig_test.go
+++ b/plugin/gateway/rig_test.go
@@ -25,7 +25,7 @@
 	"nutmegrouter/plugin/forward"
 )
 
-// configOf is a configuration with a route of each kind.
+// configOf returns a configuration with a route of each kind.
 func configOf(version int) *standin.Config {
 	model := func(name string, attempts int, resumable bool) standin.Route {
 		return standin.Route{Name: name, Host: "f.example", Prefix: "/" + name + "/", Service: "m", Kind: "streaming",
@@ -46,7 +46,7 @@
 	}
 }
 
-// rig is a gateway with the forwarder behind it and targets that tests script.
+// rig is a test rig of a gateway, a forwarder and scripted targets. It is its own placer.
 type rig struct {
 	t       testing.TB
 	is      *is.I
@@ -57,42 +57,42 @@
 	mu       sync.Mutex
 	outcomes []api.WorkOutcome
 	placed   int
-	precheck *api.Refusal // answer of Precheck
-	// turnedAway names the requests that the placer was told of.
-	turnedAway []string
-	lines      lines
+	precheck *api.Refusal // returned by Precheck
+	// shed has the ids of the requests that TurnedAway reported.
+	shed []string
+	logs logBuffer
 }
 
-// lines collects what is logged.
-type lines struct {
+// logBuffer collects log lines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// newRig starts a gateway. Requests go to the targets in order, each attempt to the
-// next one.
+// newRig starts a rig with one entry instance. The first attempt of a request goes to the
+// first target, each further attempt to the next one.
 func newRig(t testing.TB, targets ...*target) *rig {
 	t.Helper()
-	return newRigOf(t, 1, targets...)
+	return newRigWithEntries(t, 1, targets...)
 }
 
-// newRigOf starts a gateway that is one of so many entry instances.
-func newRigOf(t testing.TB, entries int, targets ...*target) *rig {
+// newRigWithEntries starts a rig whose gateway is one of a number of entry instances.
+func newRigWithEntries(t testing.TB, entries int, targets ...*target) *rig {
 	t.Helper()
 	r := &rig{t: t, is: is.New(t), targets: targets}
-	return r.start(entries, slog.NewJSONHandler(&r.lines, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	return r.start(entries, slog.NewJSONHandler(&r.logs, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
 // start starts the gateway and the forwarder.
@@ -106,9 +106,9 @@
 	r.is.NoErr(holder.Provision(k))
 	r.fleet = holder
 	r.is.NoErr((&platform.Dialect{}).Provision(k))
-	r.is.NoErr(kernel.Provide[api.Directory](k, known{}))
+	r.is.NoErr(kernel.Provide[api.Directory](k, emptyDirectory{}))
 	r.is.NoErr(kernel.Provide[api.Placer](k, r))
-	r.is.NoErr(kernel.Provide[api.Topology](k, alone(entries)))
+	r.is.NoErr(kernel.Provide[api.Topology](k, entryCount(entries)))
 	f := &forward.Forwarder{}
 	r.is.NoErr(f.Provision(k))
 	r.gateway = &Gateway{}
@@ -125,27 +125,27 @@
 	return r
 }
 
-// configured puts a version of the document in force.
-func (r *rig) configured(version int) *rig {
-	r.fleet.Install(apiView(version, configOf(version).Document()))
+// configure activates a version of the configuration.
+func (r *rig) configure(version int) *rig {
+	r.fleet.Install(newView(version, configOf(version).Document()))
 	return r
 }
 
-// known is a directory that is known and empty: the rig places by itself.
-type known struct{}
+// emptyDirectory is a known directory without targets: the rig chooses the targets.
+type emptyDirectory struct{}
 
-func (known) Targets() []api.Target            { return nil }
-func (known) Target(string) (api.Target, bool) { return api.Target{}, false }
-func (known) Known() bool                      { return true }
-func (known) OnChange(func())                  {}
+func (emptyDirectory) Targets() []api.Target            { return nil }
+func (emptyDirectory) Target(string) (api.Target, bool) { return api.Target{}, false }
+func (emptyDirectory) Known() bool                      { return true }
+func (emptyDirectory) OnChange(func())                  {}
 
-// alone is a topology with so many entry instances; no control instance is known.
-type alone int
+// entryCount is a topology with a number of entry instances and no control instance.
+type entryCount int
 
-func (alone) Controls() []string            { return nil }
-func (alone) Leader() (string, uint64)      { return "", 0 }
-func (a alone) Entries() int                { return int(a) }
-func (alone) OnLeader(func(string, uint64)) {}
+func (entryCount) Controls() []string            { return nil }
+func (entryCount) Leader() (string, uint64)      { return "", 0 }
+func (a entryCount) Entries() int                { return int(a) }
+func (entryCount) OnLeader(func(string, uint64)) {}
 
 // Precheck implements api.Placer.
 func (r *rig) Precheck(*api.Work) *api.Refusal { return r.precheck }
@@ -154,7 +154,7 @@
 func (r *rig) TurnedAway(w *api.Work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.turnedAway = append(r.turnedAway, w.RequestID)
+	r.shed = append(r.shed, w.RequestID)
 }
 
 // Place implements api.Placer.
@@ -188,8 +188,8 @@
 	p.r.outcomes = append(p.r.outcomes, o)
 }
 
-// got returns the outcomes of the attempts, once there are n.
-func (r *rig) got(n int) string {
+// waitOutcomes waits for the outcomes of n attempts and returns all, separated by spaces.
+func (r *rig) waitOutcomes(n int) string {
 	r.t.Helper()
 	for begin := time.Now(); ; time.Sleep(2 * time.Millisecond) {
 		r.mu.Lock()
@@ -207,17 +207,17 @@
 	}
 }
 
-// until waits for a condition.
-func (r *rig) until(what string, ok func() bool) {
+// waitUntil waits for a condition, at most 10 s.
+func (r *rig) waitUntil(what string, condition func() bool) {
 	r.t.Helper()
-	for begin := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
+	for begin := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > 10*time.Second {
 			r.t.Fatalf("not %s within 10 s", what)
 		}
 	}
 }
 
-// target answers requests by a script that writes raw bytes.
+// target is a server whose script writes raw responses; n counts its requests from 1.
 type target struct {
 	id, address string
 	script      func(c net.Conn, r *http.Request, n int)
@@ -226,7 +226,7 @@
 	requests []*http.Request
 	bodies   []string
 	conns    int
-	closed   chan struct{} // receives when a connection has been closed by the router
+	closed   chan struct{} // receives when the gateway has closed a connection
 }
 
 func newTarget(t testing.TB, id string, script func(c net.Conn, r *http.Request, n int)) *target {
@@ -270,27 +270,32 @@
 	}
 }
 
+// count returns the numbers of requests and connections so far.
 func (x *target) count() (requests, conns int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.requests), x.conns
 }
 
-// signed is the head of an answer to a request.
-func signed(status int, id string, extra ...string) string {
+// responseHeader returns the status line and headers of a response to a request, without
+// the empty line at the end.
+func responseHeader(status int, id string, extra ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n"+standin.HeaderAttempt+": %s\r\n"+standin.HeaderStamp+": stamp-%s\r\n%s", status, id, id, strings.Join(append(extra, ""), "\r\n"))
 }
 
-func whole(status int, id, body string, extra ...string) string {
-	return signed(status, id, append(extra, fmt.Sprintf("Content-Length: %d", len(body)))...) + "\r\n" + body
+// fullResponse returns a response with Content-Length and a body.
+func fullResponse(status int, id, body string, extra ...string) string {
+	return responseHeader(status, id, append(extra, fmt.Sprintf("Content-Length: %d", len(body)))...) + "\r\n" + body
 }
 
-func notRun(id string) string {
+// notRunResponse returns a response by which a target declares that it did not execute the
+// request.
+func notRunResponse(id string) string {
 	return fmt.Sprintf("HTTP/1.1 503 X\r\n"+standin.HeaderAttempt+": %s\r\n"+standin.HeaderNotRun+": 1\r\nContent-Length: 0\r\n\r\n", id)
 }
 
-func streamHead(id string) string {
-	return signed(200, id, "Content-Type: text/event-stream", "Transfer-Encoding: chunked") + "\r\n"
+func streamHeader(id string) string {
+	return responseHeader(200, id, "Content-Type: text/event-stream", "Transfer-Encoding: chunked") + "\r\n"
 }
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
@@ -306,14 +311,15 @@
 
 const endChunk = "0\r\n\r\n"
 
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
 func write(c net.Conn, s string) { _, _ = io.WriteString(c, s) }
 
-func idOf(r *http.Request) string { return r.Header.Get(standin.HeaderAttempt) }
+func attemptID(r *http.Request) string { return r.Header.Get(standin.HeaderAttempt) }
 
 // caller is a raw connection to the gateway.
 type caller struct {
@@ -336,7 +342,7 @@
 	return &caller{t, c, bufio.NewReader(c)}
 }
 
-// request is the text of a request with usual headers.
+// request returns the text of a request with typical headers.
 func request(method, path, id, body string, extra ...string) string {
 	h := []string{"Host: f.example", standin.HeaderAttempt + ": " + id, standin.HeaderDeadline + ": 4000", "Authorization: Bearer key"}
 	if body != "" {
@@ -347,8 +353,9 @@
 
 func (c *caller) send(s string) { write(c, s) }
 
-// answer reads one answer. The error of its body is returned, too.
-func (c *caller) answer() (*http.Response, string, error) {
+// readResponse reads one response. With an error in the body it also returns what was
+// read.
+func (c *caller) readResponse() (*http.Response, string, error) {
 	c.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	resp, err := http.ReadResponse(c.br, nil)
@@ -359,19 +366,20 @@
 	return resp, string(body), err
 }
 
-// want reads an answer and compares status and body.
+// want reads a response and fails the test unless status and body match; "*" matches any
+// body.
 func (c *caller) want(status int, body string) *http.Response {
 	c.t.Helper()
-	resp, got, err := c.answer()
+	resp, got, err := c.readResponse()
 	if err != nil {
-		c.t.Fatalf("answer: %v after %q", err, got)
+		c.t.Fatalf("response: %v after %q", err, got)
 	}
 	if resp.StatusCode != status || (body != "*" && got != body) {
-		c.t.Fatalf("answer %d %q, want %d %q", resp.StatusCode, got, status, body)
+		c.t.Fatalf("response %d %q, want %d %q", resp.StatusCode, got, status, body)
 	}
 	return resp
 }
 
-func apiView(version int, doc []byte) *api.View {
+func newView(version int, doc []byte) *api.View {
 	return &api.View{Revision: uint64(version), Version: uint64(version), Document: api.PackDocument(doc)}
 }
--- a/plugin/gateway/setup.go
+++ b/plugin/gateway/setup.go
@@ -1,7 +1,7 @@
-// Package gateway is the HTTP server for callers of a fleet with the profile
-// "routes": it finds the route and the workspace of a request, has it forwarded,
-// and passes the answer on as it arrives. It also answers the balancer's question
-// for readiness.
+// Package gateway is the HTTP reverse proxy for callers of a fleet with the profile
+// "routes". It authenticates and routes requests, limits what they use of the instance's
+// memory, connections and processor time, forwards them through api.Forwarder and
+// streams the responses back. It also serves the load balancer's readiness checks.
 package gateway
 
 import (
@@ -31,36 +31,39 @@
 	})
 }
 
-// Bounds that hold before the first configuration and where it sets none.
+// Limits of caller connections and requests. Those named default apply before the first
+// configuration and where it sets no value.
 const (
-	defaultIdle  = 15 * time.Second
-	defaultHead  = 3 * time.Second
-	defaultHeads = 16 << 10 // bytes
-	defaultBody  = 4 << 20  // bytes
-	// bodyTime is how long the body may take after the head's time is over.
-	bodyTime = 20 * time.Second
-	// headBuffer bounds the head of a request in bytes, above the configured
-	// bound, so that an overlong one is answered and not cut.
-	headBuffer  = 20 << 10
-	writeBuffer = 4 << 10
-	// bodyBuffer bounds a body above the configured bound, for the same reason.
-	bodyBuffer = 32 << 20 // bytes
-	// callersShare is the part of the sockets that connections of callers may take;
-	// the rest is for targets and other instances.
-	callersShare = 0.7
-	// requestsShare is the part of the memory that requests under way may take;
-	// beyond it requests are refused.
-	requestsShare = 0.45
-	// requestBytes is what a request under way takes beside its body: buffers, heads
-	// and stacks of its goroutines. Measured: 46 KB with 600 requests under way.
-	requestBytes = 48 << 10
-	// idleShare is the part of the memory that connections without a request under
-	// way may take, and idleBytes what each takes while a head is read.
-	idleShare = 0.3
-	idleBytes = headBuffer + 4<<10
+	defaultIdleTimeout   = 15 * time.Second
+	defaultHeaderTimeout = 3 * time.Second
+	defaultHeaderBytes   = 16 << 10 // bytes
+	defaultBodyBytes     = 4 << 20  // bytes
+	// bodyReadTime is how long reading the body may take beyond the header's time limit.
+	bodyReadTime = 20 * time.Second
+	// headerBuffer is fasthttp's limit of a request header. It exceeds the configured
+	// limit, so that a header above that limit is still read and refused with a response.
+	headerBuffer = 20 << 10 // bytes
+	writeBuffer  = 4 << 10  // bytes
+	// maxBodyBytes is fasthttp's limit of a request body. It exceeds the configured limit,
+	// so that a body above that limit is refused with a response.
+	maxBodyBytes = 32 << 20
+	// callerSocketShare is the fraction of the sockets for connections of callers; the
+	// rest is for targets and other instances.
+	callerSocketShare = 0.7
+	// requestMemoryShare is the fraction of the memory for requests in progress; above it
+	// requests are shed.
+	requestMemoryShare = 0.45
+	// requestOverheadBytes is the memory of a request in progress beside its body:
+	// buffers, headers and goroutine stacks. It is 46 KB with 600 requests in progress.
+	requestOverheadBytes = 48 << 10
+	// idleMemoryShare is the fraction of the memory for connections without a request in
+	// progress. Each of them uses idleConnBytes while a request header is read.
+	idleMemoryShare = 0.3
+	idleConnBytes   = headerBuffer + 4<<10
 )
 
-// Gateway is the plug-in. It must be provisioned before use.
+// Gateway is the plug-in that serves callers and readiness checks over HTTP. The zero
+// value must be provisioned and started.
 type Gateway struct {
 	kernel    *kernel.Context
 	forwarder api.Forwarder
@@ -71,18 +74,19 @@
 	log       *slog.Logger
 	stats     *stats
 
-	table    atomic.Pointer[routing.Table]
-	patience patience
-	memory   *overload.Bytes
-	load     *loadGate
-	http     *fasthttp.Server
-	listener *callerconn.Listener
-	conns    *callerconn.Tracker
-	draining atomic.Bool // a planned stop has begun
-	stopping atomic.Bool // no further request is taken
+	table           atomic.Pointer[routing.Table]
+	waitEstimator   waitEstimator
+	memory          *overload.Bytes
+	load            *loadGate
+	http            *fasthttp.Server
+	listener        *callerconn.Listener
+	conns           *callerconn.Tracker
+	draining        atomic.Bool // set when a planned stop begins
+	admissionClosed atomic.Bool // set when a planned stop refuses all further requests
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It fails if a service that the gateway uses is not
+// provided.
 func (g *Gateway) Provision(c *kernel.Context) (err error) {
 	if g.forwarder, err = kernel.Lookup[api.Forwarder](c); err != nil {
 		return err
@@ -99,15 +103,15 @@
 	g.kernel, g.clock, g.log = c, c.Clock, c.Log.With("plugin", "gateway")
 	g.stats = newStats(c.Metrics)
 	memory := c.Settings.Routes.MemoryMB * (1 << 20)
-	g.memory = overload.NewBytes(int64(requestsShare * memory))
+	g.memory = overload.NewBytes(int64(requestMemoryShare * memory))
 	g.load = newLoadGate()
-	g.conns = callerconn.NewTracker(g.stats.sent, &callerconn.Limits{Idle: g.idleLimit, Head: g.headLimit, Whole: g.wholeLimit})
-	g.conns.SetMost(int(min(callersShare*float64(c.Settings.Routes.MaxSockets()), idleShare*memory/idleBytes)))
-	g.stats.gauges(c.Metrics, g.conns, g.memory, g.load)
-	g.fleet.OnChange(g.viewChanged)
+	g.conns = callerconn.NewTracker(g.stats.sentBytes, &callerconn.Limits{Idle: g.idleLimit, Head: g.headerReadLimit, Whole: g.requestReadLimit})
+	g.conns.SetMost(int(min(callerSocketShare*float64(c.Settings.Routes.MaxSockets()), idleMemoryShare*memory/idleConnBytes)))
+	g.stats.registerGauges(c.Metrics, g.conns, g.memory, g.load)
+	g.fleet.OnChange(g.applyView)
 	g.http = &fasthttp.Server{
-		Handler: g.handle, ErrorHandler: g.handleMalformed, HeaderReceived: g.headReceived,
-		ReadBufferSize: headBuffer, WriteBufferSize: writeBuffer, MaxRequestBodySize: bodyBuffer,
+		Handler: g.handle, ErrorHandler: g.handleMalformed, HeaderReceived: g.limitBody,
+		ReadBufferSize: headerBuffer, WriteBufferSize: writeBuffer, MaxRequestBodySize: maxBodyBytes,
 		ReduceMemoryUsage: true, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		DisablePreParseMultipartForm: true, DisableHeaderNamesNormalizing: false,
 		SecureErrorLogMessage: true, Logger: logqueue.Discard{}, CloseOnShutdown: true,
@@ -115,9 +119,9 @@
 	return nil
 }
 
-// viewChanged puts the routes of a newer document in force. A document that this
-// version of the program cannot read leaves the one before in force.
-func (g *Gateway) viewChanged(v *api.View) {
+// applyView activates the routes of a view with another configuration version. If this
+// release cannot read the configuration, the previous one stays active.
+func (g *Gateway) applyView(v *api.View) {
 	old := g.table.Load()
 	if v.Version == 0 || (old != nil && old.Version == v.Version) {
 		return
@@ -132,28 +136,31 @@
 		"routes", len(t.Routes), "services", len(t.Services), "workspaces", len(t.Workspaces))
 }
 
-func (g *Gateway) limits() routing.CallerLimits {
+// callerLimits returns the configured limits, or none before the first configuration.
+func (g *Gateway) callerLimits() routing.CallerLimits {
 	if t := g.table.Load(); t != nil {
 		return t.Callers
 	}
 	return routing.CallerLimits{}
 }
 
-// idleLimit is a little above the configured time, because callers use it up to
-// its end.
+// idleLimit returns how long a connection may be idle. It exceeds the configured time,
+// because callers reuse connections until that time is over.
 func (g *Gateway) idleLimit() time.Duration {
 	const margin = time.Second
-	return orDefault(g.limits().IdleTimeout, defaultIdle) + margin
+	return orDefault(g.callerLimits().IdleTimeout, defaultIdleTimeout) + margin
 }
 
-func (g *Gateway) headLimit() time.Duration {
+// headerReadLimit returns how long reading a request header may take.
+func (g *Gateway) headerReadLimit() time.Duration {
 	const margin = 500 * time.Millisecond
-	return orDefault(g.limits().HeaderTimeout, defaultHead) + margin
+	return orDefault(g.callerLimits().HeaderTimeout, defaultHeaderTimeout) + margin
 }
 
-func (g *Gateway) wholeLimit() time.Duration { return g.headLimit() + bodyTime }
+// requestReadLimit returns how long reading a whole request may take.
+func (g *Gateway) requestReadLimit() time.Duration { return g.headerReadLimit() + bodyReadTime }
 
-// orDefault returns a configured bound, or the fallback where none is set.
+// orDefault returns a configured limit, or the fallback if it is not set.
 func orDefault[T int | time.Duration](v, fallback T) T {
 	if v > 0 {
 		return v
@@ -161,10 +168,11 @@
 	return fallback
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It fails if the address for callers or for readiness
+// checks is not available.
 func (g *Gateway) Start(d *kernel.Duties) error {
-	// The idle limit ends connections whose caller is gone; probes would cost calls
-	// of the system for each of the many short ones.
+	// The idle limit closes connections of disconnected callers. TCP keep-alive would cost
+	// system calls for each of the many short connections.
 	lc := net.ListenConfig{KeepAlive: -1}
 	ln, err := lc.Listen(d.Context(), "tcp", g.kernel.Settings.Listen)
 	if err != nil {
@@ -176,7 +184,7 @@
 	return g.startReady(d)
 }
 
-// serve accepts callers until the listener closes.
+// serve accepts connections of callers until the context ends or the listener closes.
 func (g *Gateway) serve(ctx context.Context) error {
 	return g.listener.Serve(ctx, g.http.Serve, g.draining.Load)
 }
--- a/plugin/gateway/stop_test.go
+++ b/plugin/gateway/stop_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Guards against requests that were accepted and are cut without an answer during a planned
-// stop under load: callers send on kept and on new connections until nothing answers any
-// more, two requests at once, bodies in halves, and streams that begin in the last moment.
-// A second order to stop comes while the first is carried out.
-func TestStopUnderLoad(t *testing.T) {
-	var reached sync.Map // ids that a target got
+// Guards against requests that reach a target but get no response during a planned stop
+// under load. Callers send on open and new connections until the listener is closed: two
+// pipelined requests, bodies in two writes, and streams that begin late. A second Drain
+// runs during the first.
+func TestDrainUnderLoad(t *testing.T) {
+	var reached sync.Map // ids of requests that reached the target
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, n int) {
-		reached.Store(idOf(r), true)
+		reached.Store(attemptID(r), true)
 		time.Sleep(time.Duration(n%20) * time.Millisecond)
 		if strings.HasPrefix(r.URL.Path, "/chat") {
-			write(c, streamHead(idOf(r)))
+			write(c, streamHeader(attemptID(r)))
 			for i := range 5 {
 				write(c, chunk(event(i+1)))
 				time.Sleep(50 * time.Millisecond)
@@ -30,15 +30,15 @@
 			write(c, endChunk)
 			return
 		}
-		write(c, whole(200, idOf(r), "ok"))
+		write(c, fullResponse(200, attemptID(r), "ok"))
 	})
-	r := newRig(t, x).configured(1)
+	r := newRig(t, x).configure(1)
 	address := r.gateway.listener.Addr().String()
-	var answered, refused, lost atomic.Int64
+	var served, refused, lost atomic.Int64
 	var stopped atomic.Bool
-	// ask sends requests on a connection and reads their answers. It reports whether the
-	// connection can be used again.
-	ask := func(c *caller, ids []string, path, body string) bool {
+	// sendAll sends pipelined requests on a connection and reads the responses. It reports
+	// whether the connection can be reused.
+	sendAll := func(c *caller, ids []string, path, body string) bool {
 		for _, id := range ids {
 			text := request("POST", path, id, body)
 			c.send(text[:len(text)-len(body)/2])
@@ -48,22 +48,22 @@
 			c.send(text[len(text)-len(body)/2:])
 		}
 		for i, id := range ids {
-			resp, _, err := c.answer()
+			resp, _, err := c.readResponse()
 			if err != nil {
 				for _, rest := range ids[i:] {
 					if _, ok := reached.Load(rest); ok {
 						lost.Add(1)
-						t.Logf("%s reached a target, and its caller got: %v", rest, err)
+						t.Logf("%s reached the target, but its caller received: %v", rest, err)
 					}
 				}
 				return false
 			}
 			if resp.StatusCode == 200 {
-				answered.Add(1)
+				served.Add(1)
 			} else {
 				refused.Add(1)
 				if _, ok := reached.Load(id); ok && resp.StatusCode == 503 {
-					t.Errorf("%s was refused and has run", id)
+					t.Errorf("%s was refused but reached the target", id)
 				}
 			}
 			if resp.Close {
@@ -72,11 +72,11 @@
 		}
 		return true
 	}
-	var all sync.WaitGroup
+	var callers sync.WaitGroup
 	for i := range 24 {
-		all.Add(1)
+		callers.Add(1)
 		go func() {
-			defer all.Done()
+			defer callers.Done()
 			var c *caller
 			for n := 0; !stopped.Load(); n++ {
 				if c == nil {
@@ -96,7 +96,7 @@
 				case 3:
 					body = strings.Repeat("x", 20_000)
 				}
-				if !ask(c, ids, path, body) || n%7 == 6 {
+				if !sendAll(c, ids, path, body) || n%7 == 6 {
 					c.Close()
 					c = nil
 				}
@@ -112,8 +112,8 @@
 	r.is.NoErr(<-done)
 	r.is.NoErr(<-done)
 	stopped.Store(true)
-	all.Wait()
-	t.Logf("%d answered, %d refused", answered.Load(), refused.Load())
-	r.is.True(answered.Load() > 500)
+	callers.Wait()
+	t.Logf("%d served, %d refused", served.Load(), refused.Load())
+	r.is.True(served.Load() > 500)
 	r.is.Equal(lost.Load(), int64(0))
 }
--- a/plugin/gateway/targets_test.go
+++ b/plugin/gateway/targets_test.go
@@ -18,16 +18,18 @@
 	"nutmegrouter/platform/standin"
 )
 
-func echo(body string) func(c net.Conn, r *http.Request, n int) {
-	return func(c net.Conn, r *http.Request, _ int) { write(c, whole(200, idOf(r), body)) }
+// respondWith returns a script that responds with status 200 and a body.
+func respondWith(body string) func(c net.Conn, r *http.Request, n int) {
+	return func(c net.Conn, r *http.Request, _ int) { write(c, fullResponse(200, attemptID(r), body)) }
 }
 
-// Guards against what a target gets and a caller gets being changed on the way.
-func TestPassedOn(t *testing.T) {
+// Guards against lost or changed requests and responses, and against headers that must not
+// be forwarded.
+func TestForwarding(t *testing.T) {
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) {
-		write(c, whole(201, idOf(r), "made", "Content-Type: text/odd", "X-Other: kept", "Keep-Alive: timeout=5", "Connection: keep-alive"))
+		write(c, fullResponse(201, attemptID(r), "made", "Content-Type: text/odd", "X-Other: kept", "Keep-Alive: timeout=5", "Connection: keep-alive"))
 	})
-	r := newRig(t, x).configured(1)
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("POST", "/order/a%2Fb/../x?q=1&r", "id1", "body", standin.HeaderWorkspace+": forged", standin.HeaderExpect+": forged", standin.HeaderHold+": 7", "Connection: X-Gone", "X-Gone: 1", "Te: gzip", "X-Kept: 1"))
 	resp := c.want(201, "made")
@@ -36,34 +38,34 @@
 	r.is.Equal(resp.Header.Get("X-Other"), "kept")
 	r.is.Equal(resp.Header.Get("Content-Type"), "text/odd")
 	r.is.Equal(resp.Header.Get("Keep-Alive"), "")
-	q := x.requests[0]
-	r.is.Equal(q.RequestURI, "/order/a%2Fb/../x?q=1&r")
-	r.is.Equal(q.Method, "POST")
-	r.is.Equal(q.Host, "f.example")
+	forwarded := x.requests[0]
+	r.is.Equal(forwarded.RequestURI, "/order/a%2Fb/../x?q=1&r")
+	r.is.Equal(forwarded.Method, "POST")
+	r.is.Equal(forwarded.Host, "f.example")
 	r.is.Equal(x.bodies[0], "body")
-	r.is.Equal(q.Header.Get(standin.HeaderWorkspace), "w")
-	r.is.Equal(q.Header.Get(standin.HeaderExpect), "t1")
-	r.is.Equal(q.Header.Get("X-Kept"), "1")
-	for _, gone := range []string{"Authorization", standin.HeaderHold, "X-Gone", "Te"} {
-		r.is.Equal(q.Header.Get(gone), "")
+	r.is.Equal(forwarded.Header.Get(standin.HeaderWorkspace), "w")
+	r.is.Equal(forwarded.Header.Get(standin.HeaderExpect), "t1")
+	r.is.Equal(forwarded.Header.Get("X-Kept"), "1")
+	for _, removed := range []string{"Authorization", standin.HeaderHold, "X-Gone", "Te"} {
+		r.is.Equal(forwarded.Header.Get(removed), "")
 	}
 	var left int
-	_, err := fmt.Sscan(q.Header.Get(standin.HeaderDeadline), &left)
+	_, err := fmt.Sscan(forwarded.Header.Get(standin.HeaderDeadline), &left)
 	r.is.NoErr(err)
-	r.is.True(left > 1000 && left <= 1500) // the route's time limit is shorter than the caller's
+	r.is.True(left > 1000 && left <= 1500) // the route's time limit is shorter than the caller's deadline
 }
 
-// Guards against answers of one request that reach another one on a connection
-// that is used again.
-func TestStrayAnswers(t *testing.T) {
+// Guards against a response of an earlier request on a reused connection that is taken for
+// the response to the next one.
+func TestStrayResponse(t *testing.T) {
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, n int) {
-		if n == 2 { // the late second answer to the first request, in front of the right one
-			write(c, whole(200, "id1", "late")+whole(200, idOf(r), "right"))
+		if n == 2 { // a duplicate response to the first request, before the right one
+			write(c, fullResponse(200, "id1", "late")+fullResponse(200, attemptID(r), "right"))
 			return
 		}
-		write(c, whole(200, idOf(r), "first"))
+		write(c, fullResponse(200, attemptID(r), "first"))
 	})
-	r := newRig(t, x).configured(1)
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("GET", "/look/1", "id1", ""))
 	c.want(200, "first")
@@ -73,12 +75,12 @@
 	r.is.Equal(conns, 1)
 }
 
-// Guards against surplus bytes behind an answer that are read as the next one.
+// Guards against surplus bytes after a response that are read as the next response.
 func TestSurplusBytes(t *testing.T) {
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, n int) {
-		write(c, whole(200, idOf(r), "ok")+whole(200, "nobody", "extra"))
+		write(c, fullResponse(200, attemptID(r), "ok")+fullResponse(200, "nobody", "extra"))
 	})
-	r := newRig(t, x).configured(1)
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	for i := range 3 {
 		c.send(request("GET", "/look/1", fmt.Sprint("id", i), ""))
@@ -89,71 +91,74 @@
 	r.is.Equal(conns, 3)
 }
 
-// Guards against an answer that is not the target's own and whole being passed on,
-// and against a request that must not run twice being sent again.
-func TestBrokenAnswers(t *testing.T) {
+// Guards against forwarding a response that is truncated or not from the target, and
+// against retrying a request that must not run twice.
+func TestBrokenResponses(t *testing.T) {
 	for name, script := range map[string]func(c net.Conn, r *http.Request, n int){
-		"no signature":  func(c net.Conn, r *http.Request, _ int) { write(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") },
-		"other id only": func(c net.Conn, r *http.Request, _ int) { write(c, whole(200, "other", "no")); c.Close() },
-		"cut body": func(c net.Conn, r *http.Request, _ int) {
-			write(c, signed(200, idOf(r), "Content-Length: 9")+"\r\nhalf")
+		"no stamp":      func(c net.Conn, r *http.Request, _ int) { write(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") },
+		"other id only": func(c net.Conn, r *http.Request, _ int) { write(c, fullResponse(200, "other", "no")); c.Close() },
+		"truncated body": func(c net.Conn, r *http.Request, _ int) {
+			write(c, responseHeader(200, attemptID(r), "Content-Length: 9")+"\r\nhalf")
 			c.Close()
 		},
-		"cut chunks": func(c net.Conn, r *http.Request, _ int) {
-			write(c, signed(200, idOf(r), "Transfer-Encoding: chunked")+"\r\n5\r\nhal")
+		"truncated chunks": func(c net.Conn, r *http.Request, _ int) {
+			write(c, responseHeader(200, attemptID(r), "Transfer-Encoding: chunked")+"\r\n5\r\nhal")
 			c.Close()
 		},
-		"reset unframed": func(c net.Conn, r *http.Request, _ int) {
-			write(c, signed(200, idOf(r))+"\r\nhalf")
+		"reset without length": func(c net.Conn, r *http.Request, _ int) {
+			write(c, responseHeader(200, attemptID(r))+"\r\nhalf")
 			time.Sleep(20 * time.Millisecond)
-			reset(c)
+			resetConn(c)
 		},
-		"not an answer":   func(c net.Conn, r *http.Request, _ int) { write(c, "garbage\r\n\r\n"); c.Close() },
-		"closed":          func(c net.Conn, r *http.Request, _ int) { c.Close() },
-		"reset":           func(c net.Conn, r *http.Request, _ int) { reset(c) },
-		"interim":         func(c net.Conn, r *http.Request, _ int) { write(c, "HTTP/1.1 102 X\r\n\r\n"); c.Close() },
-		"cut in the head": func(c net.Conn, r *http.Request, _ int) { write(c, "HTTP/1.1 200 OK\r\nX-Resp"); c.Close() },
+		"not HTTP":         func(c net.Conn, r *http.Request, _ int) { write(c, "garbage\r\n\r\n"); c.Close() },
+		"closed":           func(c net.Conn, r *http.Request, _ int) { c.Close() },
+		"reset":            func(c net.Conn, r *http.Request, _ int) { resetConn(c) },
+		"interim":          func(c net.Conn, r *http.Request, _ int) { write(c, "HTTP/1.1 102 X\r\n\r\n"); c.Close() },
+		"truncated header": func(c net.Conn, r *http.Request, _ int) { write(c, "HTTP/1.1 200 OK\r\nX-Resp"); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			bad, good := newTarget(t, "t1", script), newTarget(t, "t2", echo("good"))
-			r := newRig(t, bad, good).configured(1)
+			bad, good := newTarget(t, "t1", script), newTarget(t, "t2", respondWith("good"))
+			r := newRig(t, bad, good).configure(1)
 			c := r.dial()
 			c.send(request("GET", "/look/1", "id1", ""))
-			c.want(200, "good") // repeated elsewhere
+			c.want(200, "good") // retried on the other target
 			c.send(request("POST", "/twice/1", "id2", "x"))
 			resp := c.want(502, "*")
 			r.is.Equal(resp.Header.Get(standin.HeaderStamp), "")
 			n, _ := good.count()
-			r.is.Equal(n, 1) // the order was sent to no second target
+			r.is.Equal(n, 1) // the non-idempotent request was not retried
 		})
 	}
 }
 
-// Guards against a whole answer without length being taken for a broken one.
-func TestUnframed(t *testing.T) {
-	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) { write(c, signed(200, idOf(r))+"\r\nall of it"); c.Close() })
-	r := newRig(t, x).configured(1)
+// Guards against a complete response without a length that is taken for a broken one.
+func TestResponseWithoutLength(t *testing.T) {
+	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) {
+		write(c, responseHeader(200, attemptID(r))+"\r\nall of it")
+		c.Close()
+	})
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("POST", "/order/1", "id1", "x"))
 	c.want(200, "all of it")
-	c.send(request("POST", "/order/1", "id2", "x")) // the caller's connection stays
+	c.send(request("POST", "/order/1", "id2", "x")) // the caller's connection stays open
 	c.want(200, "all of it")
 }
 
-// Guards against a connection that is used again although a target has answered
-// before it read the whole body, and against a caller that waits for that reading.
-func TestEarlyAnswer(t *testing.T) {
+// Guards against reusing a connection on which the target responded before it read the
+// whole body, and against a caller that waits until the target has read it.
+func TestEarlyResponse(t *testing.T) {
 	for _, size := range []int{4000, 90000} {
 		x := newTarget(t, "t1", func(c net.Conn, r *http.Request, n int) {
 			if strings.Contains(r.URL.Path, "early") {
-				write(c, "HTTP/1.1 503 X\r\n"+standin.HeaderAttempt+": "+idOf(r)+"\r\n"+standin.HeaderNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
+				write(c, "HTTP/1.1 503 X\r\n"+standin.HeaderAttempt+": "+attemptID(r)+"\r\n"+standin.HeaderNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
 				time.Sleep(300 * time.Millisecond)
-				_, _ = io.Copy(io.Discard, r.Body) // it reads on later
+				_, _ = io.Copy(io.Discard, r.Body) // reads the body late
 				return
 			}
-			write(c, whole(200, idOf(r), "ok"))
+			write(c, fullResponse(200, attemptID(r), "ok"))
 		})
-		r := newRig(t, x).configured(1)
+		r := newRig(t, x).configure(1)
 		c := r.dial()
 		begin := time.Now()
 		c.send(request("POST", "/order/early", "id1", strings.Repeat("b", size)))
@@ -163,37 +168,37 @@
 		c.send(request("POST", "/order/1", "id2", "x"))
 		c.want(200, "ok")
 		for _, b := range x.bodies {
-			r.is.True(b == "" || b == "x") // no other bytes stood where a body was due
+			r.is.True(b == "" || b == "x") // a body has no bytes of another request
 		}
 	}
 }
 
-// Guards against attempts that the route does not allow, and promises that are not
-// true: a target's refusal may be tried elsewhere, a failure may not.
+// Guards against attempts that the route does not allow, and against a wrong run state: a
+// request that a target refused may be retried, a failed non-idempotent one may not.
 func TestRefusals(t *testing.T) {
-	refuse := func(c net.Conn, r *http.Request, _ int) { write(c, notRun(idOf(r))) }
+	refuse := func(c net.Conn, r *http.Request, _ int) { write(c, notRunResponse(attemptID(r))) }
 	other := func(c net.Conn, r *http.Request, _ int) {
 		write(c, "HTTP/1.1 421 X\r\n"+standin.HeaderInstance+": i-9\r\nContent-Length: 0\r\n\r\n")
 	}
-	fail := func(c net.Conn, r *http.Request, _ int) { write(c, whole(500, idOf(r), "failed")) }
-	plain503 := func(c net.Conn, r *http.Request, _ int) { write(c, whole(503, idOf(r), "ran")) }
+	fail := func(c net.Conn, r *http.Request, _ int) { write(c, fullResponse(500, attemptID(r), "failed")) }
+	plain503 := func(c net.Conn, r *http.Request, _ int) { write(c, fullResponse(503, attemptID(r), "ran")) }
 	for _, x := range []struct {
 		name, path string
 		script     func(c net.Conn, r *http.Request, n int)
 		status     int
 		body       string
-		second     int // requests at the second target
+		second     int // requests that reach the second target
 		outcomes   string
 	}{
 		{"full, one attempt", "/order/1", refuse, 503, "*", 0, "full"},
 		{"full, two attempts", "/twice/1", refuse, 200, "good", 1, "full served"},
 		{"other target", "/twice/1", other, 200, "good", 1, "other served"},
-		{"failed, repeatable", "/look/1", fail, 200, "good", 1, "failed served"},
-		{"failed, not repeatable", "/twice/1", fail, 500, "failed", 0, "failed"},
+		{"failed, idempotent", "/look/1", fail, 200, "good", 1, "failed served"},
+		{"failed, non-idempotent", "/twice/1", fail, 500, "failed", 0, "failed"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			first, second := newTarget(t, "t1", x.script), newTarget(t, "t2", echo("good"))
-			r := newRig(t, first, second).configured(1)
+			first, second := newTarget(t, "t1", x.script), newTarget(t, "t2", respondWith("good"))
+			r := newRig(t, first, second).configure(1)
 			c := r.dial()
 			method, body := "POST", "x"
 			if strings.HasPrefix(x.path, "/look") {
@@ -206,63 +211,63 @@
 			}
 			n, _ := second.count()
 			r.is.Equal(n, x.second)
-			r.is.Equal(r.got(len(strings.Fields(x.outcomes))), x.outcomes)
+			r.is.Equal(r.waitOutcomes(len(strings.Fields(x.outcomes))), x.outcomes)
 		})
 	}
-	r := newRig(t, newTarget(t, "t1", plain503)).configured(1)
+	r := newRig(t, newTarget(t, "t1", plain503)).configure(1)
 	c := r.dial()
 	c.send(request("POST", "/order/1", "id1", "x"))
-	resp := c.want(502, "*") // a 503 would say that it has not run
+	resp := c.want(502, "*") // a 503 would claim that the request has not run
 	r.is.Equal(resp.Header.Get(standin.HeaderStamp), "")
 }
 
-// Guards against a dead target that uses up an attempt, and a request that waits
-// for it.
+// Guards against an unreachable target that uses up the only attempt of a request or
+// delays the request.
 func TestUnreachable(t *testing.T) {
-	gone := newTarget(t, "t1", nil)
+	unreachable := newTarget(t, "t1", nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.address = l.Addr().String()
+	unreachable.address = l.Addr().String()
 	l.Close()
-	r := newRig(t, gone, newTarget(t, "t2", echo("good"))).configured(1)
+	r := newRig(t, unreachable, newTarget(t, "t2", respondWith("good"))).configure(1)
 	c := r.dial()
 	c.send(request("POST", "/order/1", "id1", "x"))
 	c.want(200, "good")
-	r.is.Equal(r.got(2), "unreachable served")
+	r.is.Equal(r.waitOutcomes(2), "unreachable served")
 }
 
-// Guards against a kept connection that the target has closed meanwhile losing a
-// request, or running an order twice.
+// Guards against losing a request on a kept connection that the target has closed in the
+// meantime, and against running a non-idempotent request twice.
 func TestStaleConnections(t *testing.T) {
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, n int) {
 		if n == 2 {
-			reset(c) // as if the idle connection had been dropped without notice
+			resetConn(c) // as if the idle connection had been dropped silently
 			return
 		}
-		write(c, whole(200, idOf(r), "ok"))
+		write(c, fullResponse(200, attemptID(r), "ok"))
 	})
-	r := newRig(t, x).configured(1)
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("GET", "/look/1", "id1", ""))
 	c.want(200, "ok")
 	c.send(request("GET", "/look/2", "id2", ""))
-	c.want(200, "ok") // sent once more on a fresh connection
+	c.want(200, "ok") // sent again on a new connection
 	time.Sleep(900 * time.Millisecond)
 	_, before := x.count()
 	c.send(request("POST", "/order/1", "id3", "x"))
 	c.want(200, "ok")
 	_, after := x.count()
-	r.is.Equal(after, before+1) // an order does not use a connection that was idle for long
+	r.is.Equal(after, before+1) // a non-idempotent request uses no connection that was idle for long
 }
 
-// Guards against streams with missing, doubled or joined events, and against one
-// that looks whole after it broke.
+// Guards against streams with missing, duplicate or merged events, and against a broken
+// stream that looks complete.
 func TestStreams(t *testing.T) {
 	stream := func(parts ...string) func(c net.Conn, r *http.Request, n int) {
 		return func(c net.Conn, r *http.Request, _ int) {
-			write(c, streamHead(idOf(r)))
+			write(c, streamHeader(attemptID(r)))
 			for _, p := range parts {
 				write(c, chunk(p))
 				time.Sleep(2 * time.Millisecond)
@@ -271,42 +276,42 @@
 				write(c, endChunk)
 				return
 			}
-			reset(c)
+			resetConn(c)
 		}
 	}
-	rest := func(c net.Conn, r *http.Request, n int) {
+	resume := func(c net.Conn, r *http.Request, n int) {
 		var after int
 		_, _ = fmt.Sscan(r.Header.Get("Last-Event-Id"), &after)
-		write(c, strings.Replace(streamHead(idOf(r)), "stamp-", "second-", 1)+chunk(events(after+1, 6))+endChunk)
+		write(c, strings.Replace(streamHeader(attemptID(r)), "stamp-", "second-", 1)+chunk(events(after+1, 6))+endChunk)
 	}
 	for _, x := range []struct {
 		name, path string
 		script     func(c net.Conn, r *http.Request, n int)
 		want       string
-		whole      bool
+		complete   bool
 		second     int
 	}{
-		{"whole", "/chat/1", stream(event(1), event(2)+event(3), events(4, 6)), events(1, 6), true, 0},
+		{"complete", "/chat/1", stream(event(1), event(2)+event(3), events(4, 6)), events(1, 6), true, 0},
 		{"split events", "/chat/1", stream("id: 1\nda", "ta: e1\n", "\n"+event(2), events(3, 6)), events(1, 6), true, 0},
-		{"doubled", "/chat/1", stream(events(1, 3), events(3, 3), events(4, 6)), events(1, 6), true, 0},
-		{"cut, resumed", "/draft/1", stream(events(1, 3), "id: 4\ndata: cut"), events(1, 6), true, 1},
-		{"cut, not resumable", "/chat/1", stream(events(1, 3), "id: 4\ndata: cut"), events(1, 3), false, 0},
+		{"duplicate events", "/chat/1", stream(events(1, 3), events(3, 3), events(4, 6)), events(1, 6), true, 0},
+		{"broken, resumed", "/draft/1", stream(events(1, 3), "id: 4\ndata: cut"), events(1, 6), true, 1},
+		{"broken, not resumable", "/chat/1", stream(events(1, 3), "id: 4\ndata: cut"), events(1, 3), false, 0},
 		{"gap, resumed", "/draft/1", stream(events(1, 2), events(4, 6)), events(1, 6), true, 1},
 		{"gap, not resumable", "/chat/1", stream(events(1, 2), events(4, 6)), events(1, 2), false, 0},
 		{"torn end, resumed", "/draft/1", stream(events(1, 5), "id: 6\nda"), events(1, 6), true, 1},
-		{"no event, repeated", "/draft/1", stream("id: 1 cut"), events(1, 6), true, 1},
+		{"no event, retried", "/draft/1", stream("id: 1 cut"), events(1, 6), true, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			first, second := newTarget(t, "t1", x.script), newTarget(t, "t2", rest)
-			r := newRig(t, first, second).configured(1)
+			first, second := newTarget(t, "t1", x.script), newTarget(t, "t2", resume)
+			r := newRig(t, first, second).configure(1)
 			c := r.dial()
 			c.send(request("POST", x.path, "id1", "prompt"))
-			resp, body, err := c.answer()
+			resp, body, err := c.readResponse()
 			r.is.True(resp != nil)
 			r.is.Equal(body, x.want)
-			r.is.Equal(err == nil, x.whole)
+			r.is.Equal(err == nil, x.complete)
 			if x.second == 0 || !strings.Contains(x.name, "no event") {
-				r.is.Equal(resp.Header.Get(standin.HeaderStamp), "stamp-id1") // of the first target
+				r.is.Equal(resp.Header.Get(standin.HeaderStamp), "stamp-id1") // from the first target
 			}
 			n, _ := second.count()
 			r.is.Equal(n, x.second)
@@ -314,28 +319,28 @@
 	}
 }
 
-// Guards against the callers' own resume: the stream begins after the event that
-// the caller has.
+// Guards against ignoring a caller's Last-Event-ID: the stream must resume after the event
+// that it names.
 func TestCallerResumes(t *testing.T) {
 	x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) {
-		write(c, streamHead(idOf(r))+chunk(events(4, 6))+endChunk)
+		write(c, streamHeader(attemptID(r))+chunk(events(4, 6))+endChunk)
 	})
-	r := newRig(t, x).configured(1)
+	r := newRig(t, x).configure(1)
 	c := r.dial()
 	c.send(request("POST", "/draft/1", "id1", "p", "Last-Event-Id: 3"))
 	c.want(200, events(4, 6))
 	r.is.Equal(x.requests[0].Header.Get("Last-Event-Id"), "3")
 }
 
-// Guards against targets that go on working for a caller that has left.
-func TestCallerLeaves(t *testing.T) {
+// Guards against targets that continue to work for a disconnected caller.
+func TestCallerDisconnects(t *testing.T) {
 	for _, path := range []string{"/chat/1", "/look/1"} {
 		x := newTarget(t, "t1", func(c net.Conn, r *http.Request, _ int) {
 			if strings.HasPrefix(path, "/chat") {
-				write(c, streamHead(idOf(r))+chunk(event(1)))
+				write(c, streamHeader(attemptID(r))+chunk(event(1)))
 			}
 		})
-		r := newRig(t, x).configured(1)
+		r := newRig(t, x).configure(1)
 		c := r.dial()
 		method, body := "POST", "x"
 		if path == "/look/1" {
@@ -348,34 +353,34 @@
 		select {
 		case <-x.closed:
 		case <-time.After(5 * time.Second):
-			t.Fatal("the target was not told")
+			t.Fatal("the connection to the target stays open")
 		}
 		r.is.True(time.Since(begin) < 500*time.Millisecond)
-		r.is.Equal(r.got(1), "cancelled")
+		r.is.Equal(r.waitOutcomes(1), "cancelled")
 	}
 }
 
-// Guards against work for nobody: a process without processor time left has not
-// noticed yet that the caller closed its connection when it sends.
-func TestCallerLeftUnnoticed(t *testing.T) {
-	x := newTarget(t, "a", echo("ok"))
-	r := newRig(t, x).configured(1)
+// Guards against sending a request whose caller has already disconnected: a process
+// without processor time may not have noticed that yet.
+func TestCallerDisconnectedBeforeSend(t *testing.T) {
+	x := newTarget(t, "a", respondWith("ok"))
+	r := newRig(t, x).configure(1)
 	now := r.gateway.clock.Now()
 	_, err := r.gateway.forwarder.Forward(context.Background(), &api.ForwardRequest{
 		ID: "gone", Route: &r.gateway.table.Load().Routes[0], Header: &fasthttp.RequestHeader{}, Arrived: now, Deadline: now + time.Second,
 		Present: func() bool { return false },
 	})
 	r.is.True(errors.Is(err, context.Canceled))
-	r.is.Equal(r.got(1), string(api.WorkUnsent))
+	r.is.Equal(r.waitOutcomes(1), string(api.WorkUnsent))
 	requests, _ := x.count()
 	r.is.Equal(requests, 0)
 }
 
-// Guards against a request without a final answer at its route's time limit, or at
-// its caller's deadline.
+// Guards against a request without a final response at its route's time limit or its
+// caller's deadline.
 func TestDeadline(t *testing.T) {
 	silent := func(c net.Conn, r *http.Request, _ int) {}
-	r := newRig(t, newTarget(t, "t1", silent), newTarget(t, "t2", silent)).configured(1)
+	r := newRig(t, newTarget(t, "t1", silent), newTarget(t, "t2", silent)).configure(1)
 	for _, x := range []struct {
 		path, deadline string
 		limit          time.Duration
@@ -393,13 +398,13 @@
 	}
 }
 
-// Guards against entry instances that each use the whole slack of the budget for
-// repeats: 100 instances together sent 60 times as many repeats as allowed.
-func TestBudgetIsShared(t *testing.T) {
-	fail := func(c net.Conn, r *http.Request, _ int) { write(c, whole(500, idOf(r), "failed")) }
-	repeats := func(entries int) int {
+// Guards against entry instances that each use the whole slack of the retry budget: 100
+// instances together sent 60 times as many retries as allowed.
+func TestRetryBudgetIsShared(t *testing.T) {
+	fail := func(c net.Conn, r *http.Request, _ int) { write(c, fullResponse(500, attemptID(r), "failed")) }
+	retries := func(entries int) int {
 		first, second := newTarget(t, "t1", fail), newTarget(t, "t2", fail)
-		r := newRigOf(t, entries, first, second).configured(1)
+		r := newRigWithEntries(t, entries, first, second).configure(1)
 		c := r.dial()
 		for i := range 5 {
 			c.send(request("GET", "/look/1", fmt.Sprintf("id%d", i), ""))
@@ -410,7 +415,7 @@
 		return n + m - 5
 	}
 	is := is.New(t)
-	is.True(repeats(1) >= 5)  // the slack of 100 is this instance's alone
-	is.Equal(repeats(100), 1) // 0.6 of the slack, 0.85 for the 5 requests
-	is.Equal(repeats(0), 0)   // the number of instances is not known yet
+	is.True(retries(1) >= 5)  // one instance has the whole slack of 100
+	is.Equal(retries(100), 1) // 0.6 of the slack, 0.85 for the 5 requests
+	is.Equal(retries(0), 0)   // number of instances not known yet
 }
