--- a/internal/overload/bytes.go
+++ b/internal/overload/bytes.go
@@ -8,7 +8,7 @@
 )
 
 // ErrNoMemory reports that the memory limit for responses is reached.
-var ErrNoMemory = errors.New("memory limit for responses reached")
+var ErrNoMemory = errors.New("the answers under way take all memory for answers")
 
 // Bytes limits the memory that concurrent requests or responses use together. It is
 // safe for concurrent use.
