--- a/internal/callerconn/conn.go
+++ b/internal/callerconn/conn.go
@@ -1,5 +1,6 @@
-// Package callerconn keeps track of the connections of callers. fasthttp does not
-// notice that a caller goes away while its request is served; a Conn does.
+// Package callerconn tracks the server connections of callers: it limits their number and
+// read times, closes idle ones and detects a caller's disconnect while its request is
+// served, which fasthttp does not.
 package callerconn
 
 import (
@@ -13,247 +14,252 @@
 	"nutmegrouter/internal/targetconn"
 )
 
-// state tells what a caller's connection is doing.
-type state int
+// connState is the progress of the current request on a caller's connection.
+type connState int
 
 const (
-	stateIdle   state = iota // no byte of a request has arrived
-	stateHead                // a request is being read
-	stateBody                // the head of a request is known; it is being read or served
-	stateServed              // the handler has ended, the answer may be on its way
+	stateIdle          connState = iota // no byte of a request has been received
+	stateReadingHeader                  // the header of a request is being read
+	stateHeaderRead                     // the header has been read; the body is being read or the request served
+	stateHandled                        // the handler has returned; the response may still be being written
 )
 
-// Bounds of a connection's end after a refusal.
+// Limits of a connection's reads, writes and close.
 const (
-	lingerTime  = time.Second            // wait for the caller to read the refusal
-	quietTime   = 250 * time.Millisecond // an idle connection may still get a request for this long
-	writeLimit  = 30 * time.Second       // of one write to a caller that does not read
-	lingerBytes = 64 << 20               // bytes discarded meanwhile
-	savedLimit  = 64 << 10               // bytes of pipelined requests kept while watching
+	lingerTimeout  = time.Second            // after a refusal, for the caller to read it before the close
+	minIdleTime    = 250 * time.Millisecond // a request may still be in transit on a connection that is idle for less
+	writeTimeout   = 30 * time.Second       // of a single write to a caller that does not read
+	maxLingerBytes = 64 << 20               // bytes read and discarded during lingerTimeout
+	maxSavedBytes  = 64 << 10               // bytes of pipelined requests kept while a request is served
 )
 
-// Conn is a caller's connection. While a request is served it can be
-// watched, because fasthttp does not notice that a caller went away.
+// Conn is a caller's connection. It implements the net.Conn that the server reads from, and
+// Watch detects a disconnect while a request is served.
 type Conn struct {
 	net.Conn
-	conns *Tracker
+	tracker *Tracker
 
-	mu     sync.Mutex
-	state  state
-	since  time.Time // beginning of the idle state, or of the request
-	linger bool
-	// closed is set before the socket closes, so that a request read at that moment
-	// is not served.
+	mu            sync.Mutex
+	state         connState
+	stateSince    time.Time // start of the idle period, or when the request's first byte was read
+	lingerOnClose bool      // see LingerOnClose
+	// closed is set before the socket is closed, so that a request that is read at that
+	// moment is not served.
 	closed bool
 
-	place *list.Element // among the idle connections; guarded by the tracker
+	idleElement *list.Element // in the tracker's list of idle connections, or nil; guarded by the tracker
 
-	saved []byte // read by the watch, owned by the reader between watches
+	readAhead []byte // bytes that Read returns next; owned by the goroutine of Watch while it runs, else by the reader
 }
 
-// Read implements net.Conn and follows the connection's state.
+// Read implements net.Conn. It updates the connection's state and applies the tracker's
+// limits.
 func (c *Conn) Read(p []byte) (int, error) {
-	if err := c.reading(); err != nil {
+	if err := c.beforeRead(); err != nil {
 		return 0, err
 	}
-	if len(c.saved) > 0 {
-		n := copy(p, c.saved)
-		c.saved = c.saved[n:]
-		if !c.arrived() {
+	if len(c.readAhead) > 0 {
+		n := copy(p, c.readAhead)
+		c.readAhead = c.readAhead[n:]
+		if !c.requestBytesRead() {
 			return 0, net.ErrClosed
 		}
 		return n, nil
 	}
 	if len(p) == 1 {
-		return c.readFirst(p)
+		return c.readFirstByte(p)
 	}
 	n, err := c.Conn.Read(p)
-	if n > 0 && !c.arrived() {
+	if n > 0 && !c.requestBytesRead() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// firstRead is how much is read when the server asks for one byte.
-const firstRead = 2 << 10 // bytes
+// firstReadSize is the size of the read when the server requests the first byte only.
+const firstReadSize = 2 << 10 // bytes
 
-// readFirst serves the server's question for the first byte of a request, which it
-// asks without a buffer. What arrives with it is kept for the next read.
-func (c *Conn) readFirst(p []byte) (int, error) {
-	buf := make([]byte, firstRead)
+// readFirstByte reads the first byte of a request, which the server reads with a buffer of
+// one byte. It reads more at once and keeps the rest for the next Read.
+func (c *Conn) readFirstByte(p []byte) (int, error) {
+	buf := make([]byte, firstReadSize)
 	n, err := c.Conn.Read(buf)
-	if n > 0 && !c.arrived() {
+	if n > 0 && !c.requestBytesRead() {
 		return 0, net.ErrClosed
 	}
 	if n > 0 {
 		p[0] = buf[0]
-		c.saved = buf[1:n]
+		c.readAhead = buf[1:n]
 		return 1, err
 	}
 	return 0, err
 }
 
-// reading notes that the server wants to read: at the beginning of a request the
-// answer before it has been written. It sets the deadline of the read.
-func (c *Conn) reading() error {
+// beforeRead updates the state and sets the deadline before the server reads. After a
+// handled request, a read means that its response has been written.
+func (c *Conn) beforeRead() error {
 	c.mu.Lock()
-	ended := c.state == stateServed
-	if ended {
-		c.state, c.since = stateIdle, time.Now()
+	responseWritten := c.state == stateHandled
+	if responseWritten {
+		c.state, c.stateSince = stateIdle, time.Now()
 	}
-	state, since := c.state, c.since
+	state, since := c.state, c.stateSince
 	c.mu.Unlock()
-	if ended {
-		c.conns.nowIdle(c)
+	if responseWritten {
+		c.tracker.markIdle(c)
 	}
-	l := c.conns.limits
+	l := c.tracker.limits
 	if l == nil {
 		return nil
 	}
 	switch state {
 	case stateIdle:
 		return c.Conn.SetReadDeadline(since.Add(l.Idle()))
-	case stateHead:
+	case stateReadingHeader:
 		return c.Conn.SetReadDeadline(since.Add(l.Head()))
 	}
 	return c.Conn.SetReadDeadline(since.Add(l.Whole()))
 }
 
-// arrived notes the first bytes of a request. It reports false if the connection is
-// being closed: the request must not be served, because its answer would be lost.
-func (c *Conn) arrived() bool {
+// requestBytesRead records that bytes of a request have been read. It reports false if the
+// connection is being closed: the request must not be served, because its response would be
+// lost.
+func (c *Conn) requestBytesRead() bool {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return false
 	}
-	begins := c.state == stateIdle
-	if begins {
-		c.state, c.since = stateHead, time.Now()
+	newRequest := c.state == stateIdle
+	if newRequest {
+		c.state, c.stateSince = stateReadingHeader, time.Now()
 	}
 	c.mu.Unlock()
-	if begins {
-		c.conns.nowBusy(c)
+	if newRequest {
+		c.tracker.markBusy(c)
 	}
 	return true
 }
 
-// HeadRead notes that the head of a request has been read.
-func (c *Conn) HeadRead() { c.setState(stateBody) }
+// HeadRead records that the header of a request has been read.
+func (c *Conn) HeadRead() { c.setState(stateHeaderRead) }
 
-// Served notes that the handler of a request has ended.
-func (c *Conn) Served() { c.setState(stateServed) }
+// Served records that the handler of a request has returned.
+func (c *Conn) Served() { c.setState(stateHandled) }
 
-// Begin notes that the handler of a request starts and returns when the first
-// bytes of the request were read.
+// Begin records that the handler of a request starts. It returns the time when the first
+// bytes of the request were read; for a pipelined request, the current time.
 func (c *Conn) Begin() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == stateServed || c.state == stateIdle { // it was pipelined
-		c.since = time.Now()
+	if c.state == stateHandled || c.state == stateIdle { // the request was pipelined
+		c.stateSince = time.Now()
 	}
-	c.state = stateBody
-	return c.since
+	c.state = stateHeaderRead
+	return c.stateSince
 }
 
-// SetReadDeadline implements net.Conn. With limits of its own the connection
-// ignores the server's deadlines.
+// SetReadDeadline implements net.Conn. It has no effect if the tracker has limits, which
+// replace the server's deadlines.
 func (c *Conn) SetReadDeadline(t time.Time) error {
-	if c.conns.limits != nil {
+	if c.tracker.limits != nil {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetDeadline implements net.Conn like SetReadDeadline.
+// SetDeadline implements net.Conn. It has no effect if the tracker has limits.
 func (c *Conn) SetDeadline(t time.Time) error {
-	if c.conns.limits != nil {
+	if c.tracker.limits != nil {
 		return nil
 	}
 	return c.Conn.SetDeadline(t)
 }
 
-// Write implements net.Conn with a deadline for each write. Bytes that no
-// request asked for are dropped: fasthttp answers a new connection on which
-// nothing arrives in time, and the caller could take that for the answer to the
-// request that it sends at this moment.
+// Write implements net.Conn with a deadline for each write. While no request has been
+// received, it discards the bytes and reports success: fasthttp writes a response to a
+// connection on which nothing is received in time, and the caller could mistake that for
+// the response to a request that it is just sending.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.busy() {
 		return len(p), nil
 	}
-	if err := c.Conn.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+	if err := c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
-	c.conns.sent(n)
+	c.tracker.countSent(n)
 	return n, err
 }
 
-func (c *Conn) setState(s state) {
+func (c *Conn) setState(s connState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = s
 }
 
+// busy reports whether bytes of a request have been read and its response may not be
+// completely written.
 func (c *Conn) busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state != stateIdle
 }
 
-// closeIfIdle closes a connection on which no request has begun for a while. On a
-// busy instance a request may have waited longer than that to be read, so the socket
-// must be empty too.
+// closeIfIdle closes a connection that has been idle for minIdleTime. On a busy instance a
+// request may wait longer than that to be read, so the socket must have no unread bytes.
 func (c *Conn) closeIfIdle() {
 	c.mu.Lock()
-	quiet := !c.closed && c.state == stateIdle && time.Since(c.since) >= quietTime && !targetconn.Readable(c.Conn)
-	if quiet {
+	idle := !c.closed && c.state == stateIdle && time.Since(c.stateSince) >= minIdleTime && !targetconn.Readable(c.Conn)
+	if idle {
 		c.closed = true
 	}
 	c.mu.Unlock()
-	if quiet {
-		c.conns.remove(c)
-		_ = c.Conn.Close() // nothing was written that could be lost
+	if idle {
+		c.tracker.remove(c)
+		_ = c.Conn.Close() // no written bytes can be lost
 	}
 }
 
-// Present reports whether the caller has not closed the connection, without waiting
-// for the watch to notice.
+// Present reports whether the caller has not closed the connection. It checks the socket
+// itself, because the goroutine of Watch may not have run yet.
 func (c *Conn) Present() bool { return targetconn.Open(c.Conn) }
 
-// LingerOnClose keeps the connection open for a moment after its end. Closing
-// with unread request bytes resets it, and the caller loses the refusal.
+// LingerOnClose makes Close read and discard the rest of the request for up to a second
+// before it closes the connection. Closing a connection with unread bytes resets it, and the
+// caller would lose the refusal.
 func (c *Conn) LingerOnClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.linger = true
+	c.lingerOnClose = true
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. A second call returns net.ErrClosed.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	first, linger := !c.closed, c.linger
+	firstClose, linger := !c.closed, c.lingerOnClose
 	c.closed = true
 	c.mu.Unlock()
-	if !first {
+	if !firstClose {
 		return net.ErrClosed
 	}
-	c.conns.remove(c)
+	c.tracker.remove(c)
 	if linger {
-		c.discard()
+		c.discardInput()
 	}
 	return c.Conn.Close()
 }
 
-func (c *Conn) discard() {
+// discardInput ends the sending side and discards what the caller still sends.
+func (c *Conn) discardInput() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
 	}
-	if c.Conn.SetReadDeadline(time.Now().Add(lingerTime)) != nil {
+	if c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
 	buf := make([]byte, 32<<10)
-	for total := 0; total < lingerBytes; {
+	for total := 0; total < maxLingerBytes; {
 		n, err := c.Conn.Read(buf)
 		total += n
 		if err != nil {
@@ -262,19 +268,20 @@
 	}
 }
 
-// Watch calls gone once if the caller closes the connection before stop is
-// called. The end of the caller's sending side counts as closing. Stop returns
-// after the watch has ended, so the server may read again.
-func (c *Conn) Watch(gone func()) (stop func()) {
+// Watch starts a goroutine that calls onDisconnect once if the caller closes the connection,
+// or its sending side, before stop is called. It must only be used while the server does not
+// read. stop returns after the goroutine has ended, so that the server may read again. After
+// 64 KiB of pipelined requests a disconnect is not detected any more.
+func (c *Conn) Watch(onDisconnect func()) (stop func()) {
 	if c.Conn.SetReadDeadline(time.Time{}) != nil {
-		gone()
+		onDisconnect()
 		return func() {}
 	}
 	done := make(chan struct{})
 	stopping := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.watchReads(gone, stopping)
+		c.watchReads(onDisconnect, stopping)
 	}()
 	var once sync.Once
 	return func() {
@@ -287,11 +294,12 @@
 	}
 }
 
-func (c *Conn) watchReads(gone func(), stopping <-chan struct{}) {
+// watchReads reads ahead until the caller disconnects or stopping is closed.
+func (c *Conn) watchReads(onDisconnect func(), stopping <-chan struct{}) {
 	buf := make([]byte, 512)
-	for len(c.saved) < savedLimit {
+	for len(c.readAhead) < maxSavedBytes {
 		n, err := c.Conn.Read(buf)
-		c.saved = append(c.saved, buf[:n]...)
+		c.readAhead = append(c.readAhead, buf[:n]...)
 		if err == nil {
 			continue
 		}
@@ -304,7 +312,7 @@
 		if errors.As(err, &ne) && ne.Timeout() {
 			continue
 		}
-		gone()
+		onDisconnect()
 		return
 	}
 }
--- a/internal/callerconn/fault.go
+++ b/internal/callerconn/fault.go
@@ -7,18 +7,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ReadFault tells why the server could not read a request.
+// ReadFault is the reason why the server could not read a request.
 type ReadFault uint8
 
-// Reasons.
+// Reasons for which a request cannot be read.
 const (
-	Malformed ReadFault = iota
-	BodyTooLarge
-	HeadTooLarge
-	TimedOut
+	Malformed    ReadFault = iota // any other reason
+	BodyTooLarge                  // the body exceeds the server's limit
+	HeadTooLarge                  // the header exceeds the server's read buffer
+	TimedOut                      // the request was not received in time
 )
 
-// ReadFaultOf returns the reason that stands behind an error of the server.
+// ReadFaultOf classifies an error that the server passed to its error handler.
 func ReadFaultOf(err error) ReadFault {
 	var small *fasthttp.ErrSmallBuffer
 	var ne net.Error
--- a/internal/callerconn/present_test.go
+++ b/internal/callerconn/present_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a caller that has left and is still taken for present because no
-// goroutine has read its connection yet.
-func TestPresent(t *testing.T) {
+// Guards against reporting a disconnected caller as connected because no goroutine has read
+// its connection yet.
+func TestPresentDetectsDisconnect(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -25,7 +25,7 @@
 	_, err = caller.Write([]byte("more"))
 	is.NoErr(err)
 	time.Sleep(10 * time.Millisecond)
-	is.True(c.Present()) // bytes that wait are no end
+	is.True(c.Present()) // unread bytes do not mean a disconnect
 	buf := make([]byte, 4)
 	_, err = nc.Read(buf)
 	is.NoErr(err)
@@ -35,9 +35,9 @@
 	}
 }
 
-// Guards against closing a connection whose next request waits unread on a busy
-// instance: the caller would lose a request that it has sent whole.
-func TestIdleConnectionWithBytesStays(t *testing.T) {
+// Guards against closing a connection whose next request has not been read yet because the
+// instance is busy: the caller would lose a request that it has sent completely.
+func TestIdleConnectionWithUnreadBytesStaysOpen(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -49,7 +49,7 @@
 	is.NoErr(err)
 	tracker := NewTracker(nil, nil)
 	c := tracker.add(nc)
-	c.since = time.Now().Add(-time.Minute)
+	c.stateSince = time.Now().Add(-time.Minute)
 	_, err = caller.Write([]byte("GET"))
 	is.NoErr(err)
 	time.Sleep(10 * time.Millisecond)
@@ -62,13 +62,13 @@
 	is.Equal(string(buf[:n]), "GET")
 }
 
-// Guards against serving a request that was read while its connection was being
-// closed: its answer could not be sent.
-func TestClosingConnectionDropsRequest(t *testing.T) {
+// Guards against serving a request that is read while its connection is being closed: its
+// response could not be sent.
+func TestRequestReadWhileClosingIsNotServed(t *testing.T) {
 	is := is.New(t)
-	here, there := net.Pipe()
-	c := NewTracker(nil, nil).add(here)
-	go func() { _, _ = there.Write([]byte("GET")) }()
+	server, client := net.Pipe()
+	c := NewTracker(nil, nil).add(server)
+	go func() { _, _ = client.Write([]byte("GET")) }()
 	c.closed = true
 	n, err := c.Read(make([]byte, 8))
 	is.Equal(n, 0)
--- a/internal/callerconn/tracker.go
+++ b/internal/callerconn/tracker.go
@@ -13,77 +13,79 @@
 	"github.com/pkg/errors"
 )
 
-// Tracker knows the open connections of callers.
+// Tracker holds the open connections of callers. It is safe for concurrent use.
 type Tracker struct {
-	mu     sync.Mutex
-	open   map[*Conn]struct{}
-	idle   *list.List // of *Conn, longest idle first
-	bytes  *metrics.Counter
-	limits *Limits
-	most   int // connections above which idle ones are closed; 0 = no bound
-	// TurnedAway counts connections that were closed unread, because too many were open.
+	mu        sync.Mutex
+	open      map[*Conn]struct{}
+	idle      *list.List       // of *Conn, longest idle first
+	sentBytes *metrics.Counter // nil = not counted
+	limits    *Limits
+	maxOpen   int // connections at which idle ones are closed; 0 = no limit
+	// TurnedAway counts connections that were closed unread because too many were open.
 	TurnedAway atomic.Uint64
 }
 
-// Limits bound how long a caller may take. The functions are called before each
-// read, so that they may follow a configuration.
+// Limits are the timeouts of a caller's requests. The functions are called before each read,
+// so that a changed configuration takes effect.
 type Limits struct {
-	Idle  func() time.Duration // between two requests of a connection
-	Head  func() time.Duration // of the head of a request
-	Whole func() time.Duration // of a whole request
+	Idle  func() time.Duration // idle time before a request
+	Head  func() time.Duration // from the first byte to the end of the header
+	Whole func() time.Duration // from the first byte to the end of the body
 }
 
-// NewTracker returns a tracker that counts the bytes sent to callers, if bytes is
-// not nil. Without limits the server's own deadlines hold.
-func NewTracker(bytes *metrics.Counter, limits *Limits) *Tracker {
-	return &Tracker{open: map[*Conn]struct{}{}, idle: list.New(), bytes: bytes, limits: limits}
+// NewTracker returns a tracker that counts the bytes sent to callers in sentBytes, if that is
+// not nil. If limits is nil, the server's own deadlines apply.
+func NewTracker(sentBytes *metrics.Counter, limits *Limits) *Tracker {
+	return &Tracker{open: map[*Conn]struct{}{}, idle: list.New(), sentBytes: sentBytes, limits: limits}
 }
 
-// SetMost sets the number of connections above which idle ones are closed, the
-// longest idle first. 0 = no bound.
+// SetMost sets the number of open connections at which idle ones are closed, the longest
+// idle first. 0 = no limit.
 func (t *Tracker) SetMost(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.most = n
+	t.maxOpen = n
 }
 
-// crowdedPart of the connections that may be open leaves room for a second of new
-// ones at 1,000 a second; a lower part makes a busy caller reconnect for each request.
-const crowdedPart = 0.8
+// crowdedRatio is the ratio of open connections to the limit above which Crowded reports true.
+// The rest leaves room for one second of new connections at 1,000 a second. A lower ratio
+// would make a busy caller reconnect for each request.
+const crowdedRatio = 0.8
 
-// Crowded reports whether crowdedPart of the connections that may be open are, so that
-// callers should close theirs after an answer.
-func (t *Tracker) Crowded() bool { return t.taken() > crowdedPart }
+// Crowded reports whether more than 80 % of the limit of connections are open, so that
+// responses should ask callers to close theirs.
+func (t *Tracker) Crowded() bool { return t.openRatio() > crowdedRatio }
 
-// taken returns the open connections as a multiple of the bound; 0 without one.
-func (t *Tracker) taken() float64 {
+// openRatio returns the ratio of open connections to the limit; 0 without a limit.
+func (t *Tracker) openRatio() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.most <= 0 {
+	if t.maxOpen <= 0 {
 		return 0
 	}
-	return float64(len(t.open)) / float64(t.most)
+	return float64(len(t.open)) / float64(t.maxOpen)
 }
 
-// shedAtOnce is the number of idle connections closed together.
-const shedAtOnce = 32
+// idleCloseBatch is the number of idle connections that are closed at once.
+const idleCloseBatch = 32
 
-// fullFactor is the multiple of the bound at which further connections are closed
-// unread. Between the bound and it idle ones make room; in a flood none is idle, and
-// 4,700 connections took 107 of 112 MB on an entry of the grown Quito site.
-const fullFactor = 1.3
+// rejectRatio is the ratio of open connections to the limit at which new ones are closed
+// unread. Below it, closing idle connections makes room for new ones. Under overload none is
+// idle: without this limit, 4,700 connections took 107 of the 112 MB of an entry instance in the
+// enlarged Quito fleet.
+const rejectRatio = 1.3
 
-// limit closes idle connections beyond the bound. It reports false if no further
-// connection may be open.
-func (t *Tracker) limit() bool {
-	if t.taken() >= 1 {
-		t.shed(shedAtOnce)
+// admit reports whether a new connection may be opened. At or above the limit it closes idle
+// connections first.
+func (t *Tracker) admit() bool {
+	if t.openRatio() >= 1 {
+		t.closeLongestIdle(idleCloseBatch)
 	}
-	return t.taken() < fullFactor
+	return t.openRatio() < rejectRatio
 }
 
-// shed closes up to n connections, those that are idle for longest.
-func (t *Tracker) shed(n int) {
+// closeLongestIdle closes up to n connections, the longest idle first.
+func (t *Tracker) closeLongestIdle(n int) {
 	t.mu.Lock()
 	var oldest []*Conn
 	for e := t.idle.Front(); e != nil && len(oldest) < n; e = e.Next() {
@@ -95,43 +97,45 @@
 	}
 }
 
-// nowIdle puts a connection behind those that are idle for longer, nowBusy takes it
-// out.
-func (t *Tracker) nowIdle(c *Conn) {
+// markIdle appends an open connection to the list of idle ones.
+func (t *Tracker) markIdle(c *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, open := t.open[c]; open && c.place == nil {
-		c.place = t.idle.PushBack(c)
+	if _, open := t.open[c]; open && c.idleElement == nil {
+		c.idleElement = t.idle.PushBack(c)
 	}
 }
 
-func (t *Tracker) nowBusy(c *Conn) {
+// markBusy removes a connection from the list of idle ones.
+func (t *Tracker) markBusy(c *Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leaveIdle(c)
+	t.removeIdle(c)
 }
 
-// leaveIdle takes a connection out of the idle ones. The lock must be held.
-func (t *Tracker) leaveIdle(c *Conn) {
-	if c.place != nil {
-		t.idle.Remove(c.place)
-		c.place = nil
+// removeIdle removes a connection from the list of idle ones. t.mu must be locked.
+func (t *Tracker) removeIdle(c *Conn) {
+	if c.idleElement != nil {
+		t.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-func exhausted(err error) bool {
+// noFileDescriptor reports whether an accept failed for lack of a file descriptor.
+func noFileDescriptor(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// Listen returns a listener whose connections are tracked.
-func (t *Tracker) Listen(l net.Listener) *Listener { return &Listener{Listener: l, conns: t} }
+// Listen returns a listener that adds the connections of l to the tracker.
+func (t *Tracker) Listen(l net.Listener) *Listener { return &Listener{Listener: l, tracker: t} }
 
+// add registers a new connection, which is idle at first.
 func (t *Tracker) add(nc net.Conn) *Conn {
-	c := &Conn{Conn: nc, conns: t, since: time.Now()}
+	c := &Conn{Conn: nc, tracker: t, stateSince: time.Now()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open[c] = struct{}{}
-	c.place = t.idle.PushBack(c)
+	c.idleElement = t.idle.PushBack(c)
 	return c
 }
 
@@ -139,16 +143,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.open, c)
-	t.leaveIdle(c)
+	t.removeIdle(c)
 }
 
-func (t *Tracker) sent(n int) {
-	if t.bytes != nil {
-		t.bytes.Add(n)
+func (t *Tracker) countSent(n int) {
+	if t.sentBytes != nil {
+		t.sentBytes.Add(n)
 	}
 }
 
-func (t *Tracker) all() []*Conn {
+func (t *Tracker) connections() []*Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]*Conn, 0, len(t.open))
@@ -158,9 +162,9 @@
 	return out
 }
 
-// Count returns the open connections and those with a request under way.
+// Count returns the number of open connections and of those that are serving a request.
 func (t *Tracker) Count() (open, busy int) {
-	all := t.all()
+	all := t.connections()
 	for _, c := range all {
 		if c.busy() {
 			busy++
@@ -169,69 +173,71 @@
 	return len(all), busy
 }
 
-// CloseIdle closes the connections on which no request has begun for a while.
+// CloseIdle closes the connections that have been idle for at least 250 ms and have no unread
+// bytes.
 func (t *Tracker) CloseIdle() {
-	for _, c := range t.all() {
+	for _, c := range t.connections() {
 		c.closeIfIdle()
 	}
 }
 
-// CloseAll closes all connections.
+// CloseAll closes all connections, also those with a request.
 func (t *Tracker) CloseAll() {
-	for _, c := range t.all() {
+	for _, c := range t.connections() {
 		c.Close()
 	}
 }
 
-// epoch keeps times on the monotonic clock, because the time of day may jump.
+// epoch is the reference of stored times. They use the monotonic clock, because the time of
+// day may jump.
 var epoch = time.Now()
 
-// Listener hands out connections that are tracked.
+// Listener accepts connections and adds them to its Tracker.
 type Listener struct {
 	net.Listener
-	conns *Tracker
-	last  atomic.Int64 // time of the newest connection on the monotonic clock, since epoch
+	tracker    *Tracker
+	lastAccept atomic.Int64 // time of the last accepted connection; monotonic nanoseconds since epoch
 }
 
-// acceptPause follows an accept without a free file descriptor.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after an accept that failed for lack of a file descriptor.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// Accept implements net.Listener. While too many connections are open it closes new
-// ones unread: their callers may send anything again, and reach another instance.
+// Accept implements net.Listener. While too many connections are open it closes new ones
+// unread. Since no request was read, their callers may safely retry at another instance.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.accept()
 		if err != nil {
 			return nil, err
 		}
-		l.last.Store(int64(time.Since(epoch)))
-		if l.conns.limit() {
-			return l.conns.add(nc), nil
+		l.lastAccept.Store(int64(time.Since(epoch)))
+		if l.tracker.admit() {
+			return l.tracker.add(nc), nil
 		}
-		l.conns.TurnedAway.Add(1)
+		l.tracker.TurnedAway.Add(1)
 		_ = nc.Close()
 	}
 }
 
-// accept takes the next connection. Without a free file descriptor it closes idle
-// connections and tries again: the server would end otherwise.
+// accept accepts the next connection. For lack of a file descriptor it closes idle
+// connections and retries, because the server would stop on the error.
 func (l *Listener) accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
-	for exhausted(err) {
-		l.conns.shed(shedAtOnce)
-		time.Sleep(acceptPause)
+	for noFileDescriptor(err) {
+		l.tracker.closeLongestIdle(idleCloseBatch)
+		time.Sleep(acceptRetryDelay)
 		nc, err = l.Listener.Accept()
 	}
 	return nc, err
 }
 
-// Serve runs a server on the listener. The end of the context closes the listener and
-// all connections. An end of the server before that is an error, unless stopping
-// reports that a planned stop has closed the listener.
+// Serve runs a server on the listener until the context ends, which closes the listener and
+// all connections. It returns an error if the server ends earlier, unless stopping reports
+// that a planned stop has closed the listener; then it waits for the context.
 func (l *Listener) Serve(ctx context.Context, serve func(net.Listener) error, stopping func() bool) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = l.Close()
-		l.conns.CloseAll()
+		l.tracker.CloseAll()
 	})
 	defer stop()
 	err := serve(l)
@@ -242,6 +248,9 @@
 	return errors.WithMessage(err, "serve callers")
 }
 
-// Quiet reports whether no connection has arrived for a while. One that the
-// kernel has accepted but the server has not is reset when the listener closes.
-func (l *Listener) Quiet() bool { return time.Since(epoch)-time.Duration(l.last.Load()) >= quietTime }
+// Quiet reports whether no connection was accepted in the last 250 ms. It should be checked
+// before closing the listener: connections that the kernel has accepted but the server has
+// not are reset then.
+func (l *Listener) Quiet() bool {
+	return time.Since(epoch)-time.Duration(l.lastAccept.Load()) >= minIdleTime
+}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange sends one request over a connection to a target and reads its
-// answer. It tells how many bytes of the request the kernel accepted, whether an
-// answer is provably whole, and keeps a connection only if nothing of the
-// exchange is left on it.
+// Package exchange performs one HTTP/1.1 exchange, a request and its response, over a
+// connection to a target. It reports how many bytes of the request the kernel accepted and
+// whether the response is provably complete. A connection returns to the pool only if no
+// byte of the exchange is left on it.
 package exchange
 
 import (
@@ -16,59 +16,61 @@
 	"nutmegrouter/internal/targetconn"
 )
 
-// inlineBody is the size of bodies that are written before the answer is read.
-// Longer ones are written beside, because a target may answer before it has read
-// them and then stop reading.
-const inlineBody = 8 << 10 // bytes
+// maxInlineBody is the size up to which a body is written before the response is read. A
+// longer one is written by a goroutine of its own, because a target may respond before it
+// has read the body and then stop reading.
+const maxInlineBody = 8 << 10 // bytes
 
-// maxStray bounds the body of an answer to an earlier request that is skipped.
-const maxStray = 1 << 20 // bytes
+// maxStrayBody limits the body of a skipped response to an earlier request.
+const maxStrayBody = 1 << 20 // bytes
 
-// Request is what is sent. Header holds the request line and the headers; its
-// content length is set from Body.
+// Request is a request to send. Header holds the request line and the headers; Open sets
+// its content length from Body.
 type Request struct {
 	Header *fasthttp.RequestHeader
 	Body   []byte
 }
 
-// Bounds limits the time of an exchange.
+// Bounds holds the time limits of an exchange.
 type Bounds struct {
-	Silence time.Duration // of each read and write
-	Head    time.Time     // end of the wait for the answer's head
-	Hard    time.Time     // end of the whole exchange
+	Silence time.Duration // timeout of each single read and write
+	Head    time.Time     // deadline of the response header
+	Hard    time.Time     // deadline of the whole exchange
 }
 
-// Failure tells why there is no answer.
+// Failure describes why an exchange has no response.
 type Failure struct {
-	Step     string // send or head
+	Step     string // "send" or "head"
 	Cause    error
-	Sent     int64 // bytes of the request that may have reached the target
-	Received int64 // bytes of the answer
-	Reused   bool  // the connection had served an earlier request
+	Sent     int64 // bytes of the request that the kernel accepted; the target may have received them
+	Received int64 // bytes of the response
+	Reused   bool  // the connection was used for an earlier request
 }
 
-// Exchange is one request and its answer.
+// Exchange is one request and its response. Conn and Resp are valid until Close; Resp holds
+// the status and headers, and Read returns the body.
 type Exchange struct {
 	Conn *targetconn.Conn
 	Resp *fasthttp.Response
 
-	pool    *targetconn.Pool
-	body    io.Reader // nil if the answer has no body
-	stop    func() bool
-	written chan error // result of a write beside the reads; nil if written inline
-	partial bool       // the request was not written to its end
-	head    bool       // the method is HEAD
-}
-
-// Open sends a request over a connection and reads the head of the answer. The
-// check runs immediately before the first byte is written. The connection belongs
-// to the exchange from now on, also if it fails.
-func Open(ctx context.Context, pool *targetconn.Pool, conn *targetconn.Conn, r Request, b Bounds, check func() error) (*Exchange, *Failure) {
-	conn.Arm(b.Silence, b.Head, check)
-	x := &Exchange{Conn: conn, pool: pool, head: string(r.Header.Method()) == fasthttp.MethodHead}
-	x.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
-	x.acquire()
-	step, err := x.talk(r)
+	pool            *targetconn.Pool
+	body            io.Reader   // nil if the response has no body
+	stopCancelWatch func() bool // stops closing Conn when the context ends; false if that has begun
+	writeDone       chan error  // result of the goroutine that writes the request; nil if there is none
+	writeIncomplete bool        // the request was not written completely
+	isHead          bool        // the method is HEAD
+}
+
+// Open sends a request over a connection and reads the response header. It calls
+// beforeSend immediately before the first byte is written; an error of beforeSend fails the
+// exchange. When the context ends, the connection is closed. The exchange owns the
+// connection from this call on, also if Open fails.
+func Open(ctx context.Context, pool *targetconn.Pool, conn *targetconn.Conn, r Request, b Bounds, beforeSend func() error) (*Exchange, *Failure) {
+	conn.Arm(b.Silence, b.Head, beforeSend)
+	x := &Exchange{Conn: conn, pool: pool, isHead: string(r.Header.Method()) == fasthttp.MethodHead}
+	x.stopCancelWatch = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	x.acquireResponse()
+	step, err := x.sendAndReadHeader(r)
 	if err != nil {
 		return nil, x.fail(step, err)
 	}
@@ -76,24 +78,25 @@
 	return x, nil
 }
 
-func (x *Exchange) acquire() {
+func (x *Exchange) acquireResponse() {
 	x.Resp = fasthttp.AcquireResponse()
 	x.Resp.StreamBody = true
-	x.Resp.SkipBody = x.head
+	x.Resp.SkipBody = x.isHead
 }
 
-// talk sends the request and reads the head. It returns the step that failed.
-func (x *Exchange) talk(r Request) (step string, err error) {
-	if len(r.Body) > inlineBody {
-		x.written = make(chan error, 1)
-		go func() { x.written <- x.write(r) }()
+// sendAndReadHeader sends the request and reads the response header. Its step is the one
+// that failed.
+func (x *Exchange) sendAndReadHeader(r Request) (step string, err error) {
+	if len(r.Body) > maxInlineBody {
+		x.writeDone = make(chan error, 1)
+		go func() { x.writeDone <- x.write(r) }()
 	} else if err := x.write(r); err != nil {
-		if x.early() {
+		if x.readEarlyRefusal() {
 			return "", nil
 		}
 		return "send", err
 	}
-	if err := x.readHead(); err != nil {
+	if err := x.readHeader(); err != nil {
 		return "head", err
 	}
 	return "", nil
@@ -111,46 +114,49 @@
 	return x.Conn.W.Flush()
 }
 
-func (x *Exchange) readHead() error {
+func (x *Exchange) readHeader() error {
 	err := x.Resp.ReadLimitBody(x.Conn.R, 0)
 	x.body = x.Resp.BodyStream()
 	return err
 }
 
-// early reads the answer of a target that refused a request before it had read
-// all of it and closed the connection. Only a refusal is taken for an answer.
-func (x *Exchange) early() bool {
+// readEarlyRefusal reads the response header of a target that refused a request and closed
+// the connection before it had read the whole request. It reports whether there is such a
+// response; only one with an error status is accepted.
+func (x *Exchange) readEarlyRefusal() bool {
 	c := x.Conn
 	if c.Sent == 0 || (!errors.Is(c.WriteFailure, syscall.EPIPE) && !errors.Is(c.WriteFailure, syscall.ECONNRESET)) {
 		return false
 	}
-	x.partial = true
-	return x.readHead() == nil && x.Resp.StatusCode() >= fasthttp.StatusBadRequest
+	x.writeIncomplete = true
+	return x.readHeader() == nil && x.Resp.StatusCode() >= fasthttp.StatusBadRequest
 }
 
-// Skip drops the answer, which belongs to an earlier request, and reads the next
-// one on the connection.
+// Skip discards the response, which belongs to an earlier request, and reads the header of
+// the next one on the connection. It fails for a body that ends only with the connection or
+// exceeds 1 MiB.
 func (x *Exchange) Skip() error {
 	if x.Identity() {
-		return errors.New("a stray answer ends only with its connection")
+		return errors.New("the body of a stray response ends only with its connection")
 	}
 	if x.body != nil {
-		switch _, err := io.CopyN(io.Discard, x.body, maxStray); err {
+		switch _, err := io.CopyN(io.Discard, x.body, maxStrayBody); err {
 		case io.EOF:
 		case nil:
-			return errors.New("a stray answer without end")
+			return errors.New("the body of a stray response exceeds the size limit")
 		default:
 			return err
 		}
 	}
-	x.release()
-	x.acquire()
-	return x.readHead()
+	x.releaseResponse()
+	x.acquireResponse()
+	return x.readHeader()
 }
 
-// fail ends an exchange without a head.
+// fail closes an exchange that has no response header. The first error of the connection
+// itself replaces err.
 func (x *Exchange) fail(step string, err error) *Failure {
-	_ = x.Conn.Conn.Close() // ends a write beside
+	_ = x.Conn.Conn.Close() // unblocks the writing goroutine
 	x.awaitWrite()
 	if f := x.Conn.Failure(); f != nil {
 		err = f
@@ -160,68 +166,71 @@
 	return f
 }
 
-// awaitWrite waits for the end of a write beside the reads.
+// awaitWrite waits for the goroutine that writes the request, if there is one.
 func (x *Exchange) awaitWrite() {
-	if x.written == nil {
+	if x.writeDone == nil {
 		return
 	}
-	if err := <-x.written; err != nil {
-		x.partial = true
+	if err := <-x.writeDone; err != nil {
+		x.writeIncomplete = true
 	}
-	x.written = nil
+	x.writeDone = nil
 }
 
-// writeEnded reports whether the whole request has been written, without waiting.
-func (x *Exchange) writeEnded() bool {
-	if x.written == nil {
-		return !x.partial
+// writeComplete reports whether the whole request has been written. It does not wait.
+func (x *Exchange) writeComplete() bool {
+	if x.writeDone == nil {
+		return !x.writeIncomplete
 	}
 	select {
-	case err := <-x.written:
-		x.written, x.partial = nil, err != nil
-		return !x.partial
+	case err := <-x.writeDone:
+		x.writeDone, x.writeIncomplete = nil, err != nil
+		return !x.writeIncomplete
 	default:
 		return false
 	}
 }
 
-// Close ends the exchange. The connection is kept only if the answer was whole
-// and nothing of the request or the answer is left on it.
-func (x *Exchange) Close(whole bool) {
+// Close ends the exchange. The connection returns to the pool only if complete reports
+// that the response was read to its end and no byte of the request or the response is left
+// on it; otherwise it is closed. Further calls have no effect.
+func (x *Exchange) Close(complete bool) {
 	if x.Resp == nil {
 		return
 	}
-	free := x.stop()
-	keep := whole && free && x.writeEnded() && !x.Resp.ConnectionClose() && !x.Identity() && x.Conn.R.Buffered() == 0
-	x.release()
+	notCancelled := x.stopCancelWatch()
+	keep := complete && notCancelled && x.writeComplete() && !x.Resp.ConnectionClose() && !x.Identity() && x.Conn.R.Buffered() == 0
+	x.releaseResponse()
 	if keep {
 		x.pool.Put(x.Conn)
 		return
 	}
-	_ = x.Conn.Conn.Close() // ends a write beside
+	_ = x.Conn.Conn.Close() // unblocks the writing goroutine
 	x.awaitWrite()
 	x.Conn.Release()
 }
 
-func (x *Exchange) release() {
-	_ = x.Resp.CloseBodyStream() // a reader without resources of its own
+func (x *Exchange) releaseResponse() {
+	_ = x.Resp.CloseBodyStream() // the stream has no resources to free
 	fasthttp.ReleaseResponse(x.Resp)
 	x.Resp, x.body = nil, nil
 }
 
-// Values that fasthttp uses for the length of a body.
+// Special values of fasthttp's ContentLength.
 const (
 	lengthChunked  = -1
 	lengthIdentity = -2
 )
 
-// Identity reports that only the end of the connection ends the answer.
+// Identity reports whether the body has no length and no chunks, so that it ends only with
+// the connection.
 func (x *Exchange) Identity() bool {
 	return x.body != nil && x.Resp.Header.ContentLength() == lengthIdentity
 }
 
-// Read reads from the body. It returns io.EOF only after a whole body. One that
-// ends with its connection is whole unless the connection was reset.
+// Read implements io.Reader on the response body. It returns io.EOF only after the whole
+// body. A body that ends with its connection is complete only if the connection ended
+// without an error.
 func (x *Exchange) Read(p []byte) (int, error) {
 	if x.body == nil {
 		return 0, io.EOF
@@ -236,11 +245,11 @@
 	return n, err
 }
 
-// Ended reports whether the rest of a chunked body is its end mark and has
-// already arrived. It does not wait for the target.
+// Ended reports whether only the last chunk of a chunked body is left and has already been
+// received. It does not wait for the target.
 func (x *Exchange) Ended() bool {
-	const endMark = "0\r\n\r\n"
-	if x.Resp.Header.ContentLength() != lengthChunked || x.Conn.R.Buffered() < len(endMark) {
+	const lastChunk = "0\r\n\r\n"
+	if x.Resp.Header.ContentLength() != lengthChunked || x.Conn.R.Buffered() < len(lastChunk) {
 		return false
 	}
 	var b [1]byte
--- a/internal/exchange/headers.go
+++ b/internal/exchange/headers.go
@@ -6,13 +6,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// hopHeaders concern one connection only.
+// hopHeaders are the hop-by-hop headers, which a proxy must not pass on.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Proxy-Authenticate",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// StripRequest removes the headers of a request that concern one connection.
+// StripRequest removes the hop-by-hop headers of a request and those that its Connection
+// header lists.
 func StripRequest(h *fasthttp.RequestHeader) {
 	for name := range strings.SplitSeq(string(h.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" {
@@ -24,7 +25,8 @@
 	}
 }
 
-// StripAnswer removes the headers of an answer that concern one connection.
+// StripAnswer removes the hop-by-hop headers of a response and those that its Connection
+// header lists.
 func StripAnswer(h *fasthttp.ResponseHeader) {
 	for name := range strings.SplitSeq(string(h.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" && !strings.EqualFold(name, "close") {
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -12,74 +12,80 @@
 )
 
 const (
-	// MaxEvent bounds the memory that one server-sent event takes.
+	// MaxEvent limits the memory of one event: the stream fails if an event is still
+	// incomplete beyond this size.
 	MaxEvent = 4 << 20 // bytes
-	// maxFiller bounds comments and other blocks without data in a row. A target that
-	// sends a comment of a few bytes each second stays below it for an hour.
-	maxFiller = 64 << 10 // bytes
-	firstSize = 4 << 10  // bytes of a reader's buffer
+	// maxFillerBytes limits consecutive comments and other blocks without data. A target
+	// that sends a comment of a few bytes each second reaches it only after an hour.
+	maxFillerBytes    = 64 << 10 // bytes
+	initialBufferSize = 4 << 10  // bytes
 )
 
-// Errors of a stream that cannot be read on.
+// Errors after which a stream cannot be read further. Their texts can reach callers in a
+// refusal.
 var (
+	// ErrTooLarge reports an event that is incomplete after more than MaxEvent bytes.
 	ErrTooLarge = errors.New("server-sent event exceeds the size limit")
-	ErrFiller   = errors.New("comments without end instead of events")
+	// ErrFiller reports more than 64 KiB of consecutive comments or other blocks without data.
+	ErrFiller = errors.New("comments without end instead of events")
 )
 
-// Event is one block of a stream of server-sent events. Its slices are valid
-// until the next call of the reader.
+// Event is one block of a stream of server-sent events; a block of comments only is an Event
+// without data. Its slices are valid until the next call of Reader.Next.
 type Event struct {
 	Raw     []byte // the block with its blank line, unchanged
 	Data    []byte // the data lines joined by line feeds
-	ID      uint64
+	ID      uint64 // valid if HasID
 	HasData bool
 	HasID   bool
-	BadID   bool // an id that is not a decimal number
+	BadID   bool // the id field is not a decimal number that fits 64 bits
 
-	joined bool // Data is a copy
+	dataCopied bool // Data is a copy and not a part of Raw
 }
 
-// Done reports the end mark of engine streams.
+// Done reports whether the event is the end mark of an engine's stream, "[DONE]".
 func (e *Event) Done() bool { return e.HasData && string(e.Data) == "[DONE]" }
 
-// Reader splits a byte stream into events. Lines end in LF or CRLF.
+// Reader splits a byte stream into events. Lines end in LF or CRLF. It is not safe for
+// concurrent use.
 type Reader struct {
-	src   io.Reader
-	buf   []byte
-	begin int // start of the unread bytes
-	line  int // start of the line that is not complete
-	scan  int // bytes from line to this offset hold no line feed
-	err   error
-
-	memory *overload.Bytes
-	taken  int // bytes of memory
-	filler int // bytes of blocks without data since the last event with data
+	src       io.Reader
+	buf       []byte
+	start     int // offset of the first byte that was not returned
+	lineStart int // offset of the first line that was not scanned completely
+	scanned   int // the bytes from lineStart to this offset contain no line feed
+	err       error
+
+	memory        *overload.Bytes // shared by all readers
+	reservedBytes int             // bytes reserved from memory; the initial buffer is not counted
+	fillerBytes   int             // bytes of blocks without data since the last event with data
 }
 
-// NewReader returns a reader of a stream. Its buffer grows within a bound on the memory
-// of all readers; Release frees it.
+// NewReader returns a reader of a stream. It reserves memory from m when its buffer grows
+// beyond 4 KiB; Release frees the memory.
 func NewReader(src io.Reader, m *overload.Bytes) *Reader {
-	return &Reader{src: src, memory: m, buf: make([]byte, 0, firstSize)}
+	return &Reader{src: src, memory: m, buf: make([]byte, 0, initialBufferSize)}
 }
 
-// Release frees the memory. The reader must not be used any more.
+// Release frees the memory. Next must not be called afterwards.
 func (r *Reader) Release() {
-	r.memory.Free(r.taken)
-	r.taken, r.buf = 0, nil
+	r.memory.Free(r.reservedBytes)
+	r.reservedBytes, r.buf = 0, nil
 }
 
-// Next returns the next whole event. Bytes after the last blank line are not an
-// event: they are dropped and the source's error is returned.
+// Next returns the next complete event. At the end of the source it returns the source's
+// error; bytes after the last blank line are not an event and are not returned. Other errors
+// are ErrTooLarge, ErrFiller and overload.ErrNoMemory. After an error Next keeps returning it.
 func (r *Reader) Next() (Event, error) {
 	for {
-		if end := r.blockEnd(); end > 0 {
-			raw := r.buf[r.begin:end]
-			r.begin = end
+		if end := r.nextBlockEnd(); end > 0 {
+			raw := r.buf[r.start:end]
+			r.start = end
 			e := Parse(raw)
-			if r.filler += len(raw); e.HasData {
-				r.filler = 0
+			if r.fillerBytes += len(raw); e.HasData {
+				r.fillerBytes = 0
 			}
-			if r.filler > maxFiller {
+			if r.fillerBytes > maxFillerBytes {
 				r.err = ErrFiller
 				return Event{}, r.err
 			}
@@ -88,7 +94,7 @@
 		if r.err != nil {
 			return Event{}, r.err
 		}
-		if len(r.buf)-r.begin > MaxEvent {
+		if len(r.buf)-r.start > MaxEvent {
 			r.err = ErrTooLarge
 			return Event{}, r.err
 		}
@@ -99,40 +105,40 @@
 	}
 }
 
-// blockEnd returns the offset after the first blank line, or 0. No byte is looked at
-// twice: a target may send a long line byte by byte.
-func (r *Reader) blockEnd() int {
-	for r.scan < len(r.buf) {
-		n := bytes.IndexByte(r.buf[r.scan:], '\n')
+// nextBlockEnd returns the offset after the first blank line, or 0 if there is none yet. It
+// scans each byte only once, because a target may send a long line byte by byte.
+func (r *Reader) nextBlockEnd() int {
+	for r.scanned < len(r.buf) {
+		n := bytes.IndexByte(r.buf[r.scanned:], '\n')
 		if n < 0 {
-			r.scan = len(r.buf)
+			r.scanned = len(r.buf)
 			return 0
 		}
-		line := r.buf[r.line : r.scan+n]
-		r.scan += n + 1
-		r.line = r.scan
+		line := r.buf[r.lineStart : r.scanned+n]
+		r.scanned += n + 1
+		r.lineStart = r.scanned
 		if len(line) == 0 || (len(line) == 1 && line[0] == '\r') {
-			return r.scan
+			return r.scanned
 		}
 	}
 	return 0
 }
 
-// fill reads once from the source, whose error Next returns later. Its own error is
-// that there is no memory.
+// fill reads once from the source and stores the source's error in r.err, which Next returns
+// after the complete events. It returns overload.ErrNoMemory if the buffer cannot grow.
 func (r *Reader) fill() error {
-	if r.begin > 0 {
-		n := copy(r.buf, r.buf[r.begin:])
+	if r.start > 0 {
+		n := copy(r.buf, r.buf[r.start:])
 		r.buf = r.buf[:n]
-		r.scan -= r.begin
-		r.line -= r.begin
-		r.begin = 0
+		r.scanned -= r.start
+		r.lineStart -= r.start
+		r.start = 0
 	}
 	if len(r.buf) == cap(r.buf) {
 		if !r.memory.Take(cap(r.buf)) {
 			return overload.ErrNoMemory
 		}
-		r.taken += cap(r.buf)
+		r.reservedBytes += cap(r.buf)
 		grown := make([]byte, len(r.buf), 2*cap(r.buf))
 		copy(grown, r.buf)
 		r.buf = grown
@@ -143,18 +149,18 @@
 	return nil
 }
 
-// Parse reads one block with its blank line.
+// Parse parses one block with its blank line. Fields other than data and id are ignored.
 func Parse(raw []byte) Event {
 	e := Event{Raw: raw}
 	for rest := raw; len(rest) > 0; {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte{'\n'})
-		e.field(bytes.TrimSuffix(line, []byte{'\r'}))
+		e.parseLine(bytes.TrimSuffix(line, []byte{'\r'}))
 	}
 	return e
 }
 
-func (e *Event) field(line []byte) {
+func (e *Event) parseLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
@@ -163,8 +169,8 @@
 			e.Data, e.HasData = value, true
 			return
 		}
-		if !e.joined {
-			e.Data, e.joined = bytes.Clone(e.Data), true
+		if !e.dataCopied {
+			e.Data, e.dataCopied = bytes.Clone(e.Data), true
 		}
 		e.Data = append(append(e.Data, '\n'), value...)
 	case "id":
@@ -173,5 +179,5 @@
 	}
 }
 
-// Rest returns the number of bytes after the last whole event.
-func (r *Reader) Rest() int { return len(r.buf) - r.begin }
+// Rest returns the number of bytes received after the last event that Next returned.
+func (r *Reader) Rest() int { return len(r.buf) - r.start }
--- a/internal/sse/reader_test.go
+++ b/internal/sse/reader_test.go
@@ -12,21 +12,22 @@
 	"nutmegrouter/internal/overload"
 )
 
-// endless repeats a text without end.
-type endless struct {
-	text string
-	at   int
+// repeatingReader returns a text over and over again and never ends.
+type repeatingReader struct {
+	text   string
+	offset int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	n := copy(p, e.text[e.at:])
-	e.at = (e.at + n) % len(e.text)
+func (e *repeatingReader) Read(p []byte) (int, error) {
+	n := copy(p, e.text[e.offset:])
+	e.offset = (e.offset + n) % len(e.text)
 	return n, nil
 }
 
-// Guards against streams that never end and hold an event: an event without its blank
-// line, and comments instead of events.
-func TestEndlessBlocks(t *testing.T) {
+// Guards against unbounded memory or reads for a stream that never ends and never completes
+// an event with data: an event without its blank line, or only comments and other blocks
+// without data.
+func TestUnboundedBlocksFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want error
@@ -41,23 +42,23 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			memory := overload.NewBytes(3 * MaxEvent)
-			r := NewReader(&endless{text: c.text}, memory)
+			r := NewReader(&repeatingReader{text: c.text}, memory)
 			var err error
 			for err == nil {
 				_, err = r.Next()
 			}
 			is.Equal(err, c.want)
 			_, err = r.Next()
-			is.Equal(err, c.want) // it stays ended
+			is.Equal(err, c.want) // the error is permanent
 			r.Release()
 			is.Equal(memory.Held(), int64(0))
 		})
 	}
 }
 
-// Guards against comments between events that end a sound stream: each event begins a
-// new count.
-func TestCommentsBetweenEvents(t *testing.T) {
+// Guards against comments between events that fail a valid stream: the limit on blocks
+// without data restarts after each event with data.
+func TestCommentLimitRestartsAfterEvent(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat(strings.Repeat(": still here\n\n", 1000)+"data: e\n\n", 50)
 	r := NewReader(strings.NewReader(text), overload.NewBytes(MaxEvent))
@@ -75,7 +76,7 @@
 	is.Equal(events, 50)
 }
 
-// Guards against many readers that hold more memory than all of them together may.
+// Guards against many readers that together exceed the shared memory limit.
 func TestReadersShareMemory(t *testing.T) {
 	is := is.New(t)
 	const limit = 1 << 20
@@ -83,7 +84,7 @@
 	var readers []*Reader
 	refused := 0
 	for range 200 {
-		r := NewReader(&endless{text: "data: more\n"}, memory)
+		r := NewReader(&repeatingReader{text: "data: more\n"}, memory)
 		readers = append(readers, r)
 		_, err := r.Next()
 		if errors.Is(err, overload.ErrNoMemory) {
@@ -98,10 +99,10 @@
 	is.Equal(memory.Held(), int64(0))
 	r := NewReader(strings.NewReader("data: "+strings.Repeat("x", 100_000)+"\n\n"), memory)
 	_, err := r.Next()
-	is.NoErr(err) // there is room again
+	is.NoErr(err) // released memory is available again
 }
 
-// Guards against an event whose cost grows with the square of its lines.
+// Guards against a parsing time that grows with the square of an event's data lines.
 func TestManyDataLines(t *testing.T) {
 	is := is.New(t)
 	const lines = 500_000
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -1,6 +1,6 @@
-// Package targetconn keeps connections to targets. fasthttp's own client hides
-// which connection a request used and repeats some requests by itself, so the
-// router keeps the connections and uses fasthttp for the wire format only.
+// Package targetconn provides client connections to targets and a pool of idle ones.
+// fasthttp's own client hides which connection a request used and retries some requests by
+// itself, so the router manages the connections and uses fasthttp for the wire format only.
 package targetconn
 
 import (
@@ -16,49 +16,50 @@
 
 // Sizes of a connection's buffers and writes.
 const (
-	writePiece  = 64 << 10 // bytes written under one deadline
-	readBuffer  = 16 << 10 // bytes; bounds the head of an answer
-	writeBuffer = 4 << 10  // bytes
-	// maxOverhead bounds the bytes that arrive without a byte of an answer's body: heads,
-	// sizes of chunks with their extensions, trailers.
-	maxOverhead = 64 << 10 // bytes
+	maxWriteSize    = 64 << 10 // bytes; limit of a single write, which has a deadline of its own
+	readBufferSize  = 16 << 10 // bytes; limits the response header
+	writeBufferSize = 4 << 10  // bytes
+	// maxOverheadBytes limits the bytes that are received without a byte of a response
+	// body: headers, chunk sizes with their extensions, trailers.
+	maxOverheadBytes = 64 << 10 // bytes
 )
 
-// Errors of answers.
+// Errors of responses. Their texts can reach callers in a refusal.
 var (
-	// ErrOverhead reports a target that sends bytes without end that are no answer.
+	// ErrOverhead reports a target that has sent more than 64 KiB since the last byte of a
+	// response body.
 	ErrOverhead = errors.New("the target sends bytes that are no answer")
-	// ErrNameless reports an answer on a connection that has served an earlier request: it
-	// may be a second one to that.
+	// ErrNameless reports a response without a request ID on a reused connection: it may be
+	// a second response to the earlier request.
 	ErrNameless = errors.New("the answer does not say to which request it belongs")
 )
 
-// Conn is a connection to a target. It calls check before the first byte of a
-// request, counts the bytes of the request that the kernel accepted, and bounds
-// the silence of each single read and write. It carries one request at a time.
+// Conn is a connection to a target that carries one request at a time. It runs a check
+// before the first byte of a request, counts the bytes of the request and the response, and
+// applies a deadline to each single read and write. R and W are buffered.
 type Conn struct {
 	net.Conn
 	R *bufio.Reader
 	W *bufio.Writer
 
-	// Sent counts the bytes of the request that the kernel accepted, Received
-	// those of the answer.
+	// Sent is the number of bytes of the request that the kernel accepted, Received the
+	// number of bytes received since Arm.
 	Sent, Received int64
-	// ReadFailure and WriteFailure are the first errors of the connection itself.
-	// fasthttp reports some errors of a read as the end of the stream.
+	// ReadFailure and WriteFailure are the first errors of the connection itself since Arm.
+	// They are kept because fasthttp reports some read errors as the end of the stream.
 	ReadFailure, WriteFailure error
-	// Reused reports that the connection served an earlier request.
+	// Reused reports whether the connection came from the pool, after an earlier request.
 	Reused bool
-	// Host is the address of the target.
+	// Host is the target's address, IP:port.
 	Host string
-	// IdleLimit is how long the target keeps the connection idle; 0 = unknown.
+	// IdleLimit is how long the target keeps an idle connection open; 0 = unknown.
 	IdleLimit time.Duration
 
-	hard      atomic.Int64  // end of all reads and writes of the request, on the monotonic clock, since epoch
-	check     func() error  // called before the first byte of a request
-	silence   time.Duration // longest time of one read or write
-	idleSince time.Time
-	overhead  int // bytes received since the last progress
+	hardDeadline  atomic.Int64  // of all reads and writes of the request; monotonic nanoseconds since epoch
+	beforeSend    func() error  // called before the first byte of a request; nil = none
+	ioTimeout     time.Duration // of a single read or write
+	idleSince     time.Time
+	overheadBytes int // bytes received since the last call of Progress
 }
 
 func newConn(nc net.Conn, host string) *Conn {
@@ -69,16 +70,17 @@
 	return c
 }
 
-// Buffers of closed connections are used again, because every non-idempotent
-// request opens a connection of its own.
+// Buffers of closed connections are reused, because every non-idempotent request opens a
+// connection of its own.
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBuffer) }}
+	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
+	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferSize) }}
 )
 
-// Release closes a connection that no one reads or writes any more.
+// Release closes the connection and frees its buffers. No goroutine may use the connection
+// any more.
 func (c *Conn) Release() {
-	_ = c.Close() // nothing depends on the outcome
+	_ = c.Close() // the connection is not used any more
 	c.R.Reset(nil)
 	c.W.Reset(nil)
 	readers.Put(c.R)
@@ -86,27 +88,32 @@
 	c.R, c.W = nil, nil
 }
 
-// Arm prepares the connection for one request.
-func (c *Conn) Arm(silence time.Duration, hard time.Time, check func() error) {
-	c.silence, c.check = silence, check
-	c.SetHard(hard)
+// Arm prepares the connection for one request and resets its counters and errors. Each
+// single read or write must end within ioTimeout, and all of them before the deadline.
+// beforeSend is called before the first byte is written; its error fails the write.
+func (c *Conn) Arm(ioTimeout time.Duration, deadline time.Time, beforeSend func() error) {
+	c.ioTimeout, c.beforeSend = ioTimeout, beforeSend
+	c.SetHard(deadline)
 	c.Sent, c.Received, c.ReadFailure, c.WriteFailure = 0, 0, nil, nil
-	c.overhead = 0
+	c.overheadBytes = 0
 }
 
-// Progress tells that bytes of a body have been read.
-func (c *Conn) Progress() { c.overhead = 0 }
+// Progress reports that bytes of a response body have been read, which restarts the limit of
+// ErrOverhead.
+func (c *Conn) Progress() { c.overheadBytes = 0 }
 
-// epoch keeps times on the monotonic clock, because the time of day may jump.
+// epoch is the reference of stored times. They use the monotonic clock, because the time of
+// day may jump.
 var epoch = time.Now()
 
-// SetHard sets the end of all reads and writes of the request.
-func (c *Conn) SetHard(t time.Time) { c.hard.Store(int64(t.Sub(epoch))) }
+// SetHard sets the deadline of all reads and writes of the request.
+func (c *Conn) SetHard(t time.Time) { c.hardDeadline.Store(int64(t.Sub(epoch))) }
 
-// Hard returns the end of all reads and writes of the request.
-func (c *Conn) Hard() time.Time { return epoch.Add(time.Duration(c.hard.Load())) }
+// Hard returns the deadline of all reads and writes of the request.
+func (c *Conn) Hard() time.Time { return epoch.Add(time.Duration(c.hardDeadline.Load())) }
 
-// Failure returns the first error of the connection itself, or nil.
+// Failure returns the first write error of the connection since Arm, or else the first read
+// error, or nil.
 func (c *Conn) Failure() error {
 	if c.WriteFailure != nil {
 		return c.WriteFailure
@@ -114,84 +121,88 @@
 	return c.ReadFailure
 }
 
-func (c *Conn) deadline() time.Time {
-	t := time.Now().Add(c.silence)
-	if hard := c.Hard(); t.After(hard) {
-		return hard
+// ioDeadline returns the deadline of a read or write that starts now.
+func (c *Conn) ioDeadline() time.Time {
+	t := time.Now().Add(c.ioTimeout)
+	if deadline := c.Hard(); t.After(deadline) {
+		return deadline
 	}
 	return t
 }
 
-// Read implements net.Conn with a deadline for each read.
+// Read implements net.Conn with a deadline for each read. It fails with ErrOverhead.
 func (c *Conn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(c.deadline()); err != nil {
-		return 0, keepFirst(&c.ReadFailure, err)
+	if err := c.SetReadDeadline(c.ioDeadline()); err != nil {
+		return 0, recordFirst(&c.ReadFailure, err)
 	}
-	if c.overhead > maxOverhead {
-		return 0, keepFirst(&c.ReadFailure, ErrOverhead)
+	if c.overheadBytes > maxOverheadBytes {
+		return 0, recordFirst(&c.ReadFailure, ErrOverhead)
 	}
 	n, err := c.Conn.Read(p)
 	c.Received += int64(n)
-	c.overhead += n
-	return n, keepFirst(&c.ReadFailure, err)
+	c.overheadBytes += n
+	return n, recordFirst(&c.ReadFailure, err)
 }
 
-func keepFirst(first *error, err error) error {
+// recordFirst stores err in first if that is the first error, and returns err.
+func recordFirst(first *error, err error) error {
 	if err != nil && *first == nil {
 		*first = err
 	}
 	return err
 }
 
-// Write implements net.Conn. A large body is written in pieces, each under its
-// own deadline, so that a slow but moving target is not taken for a silent one.
+// Write implements net.Conn. A large body is written in chunks with a deadline each, so that
+// a target that reads slowly does not time out as a silent one.
 func (c *Conn) Write(p []byte) (int, error) {
-	if c.Sent == 0 && c.check != nil {
-		if err := c.check(); err != nil {
-			return 0, keepFirst(&c.WriteFailure, err)
+	if c.Sent == 0 && c.beforeSend != nil {
+		if err := c.beforeSend(); err != nil {
+			return 0, recordFirst(&c.WriteFailure, err)
 		}
 	}
 	total := 0
 	for total < len(p) {
-		if err := c.SetWriteDeadline(c.deadline()); err != nil {
-			return total, keepFirst(&c.WriteFailure, err)
+		if err := c.SetWriteDeadline(c.ioDeadline()); err != nil {
+			return total, recordFirst(&c.WriteFailure, err)
 		}
-		n, err := c.Conn.Write(p[total:min(len(p), total+writePiece)])
+		n, err := c.Conn.Write(p[total:min(len(p), total+maxWriteSize)])
 		total += n
 		c.Sent += int64(n)
 		if err != nil {
-			return total, keepFirst(&c.WriteFailure, err)
+			return total, recordFirst(&c.WriteFailure, err)
 		}
 	}
 	return total, nil
 }
 
-// alive reports whether an idle connection is open and has nothing to read.
-// Bytes that arrive without a request belong to no one.
-func (c *Conn) alive() bool {
-	return c.R.Buffered() == 0 && peek(c.Conn) == stateOpen
+// reusable reports whether an idle connection is open and has no bytes to read. Bytes that
+// were received without a request would be mistaken for the next response.
+func (c *Conn) reusable() bool {
+	return c.R.Buffered() == 0 && peekState(c.Conn) == stateOpen
 }
 
-// Open reports whether the peer of a connection has not closed it. Bytes that
-// wait to be read are no end.
+// Open reports whether the peer of a connection has not closed it, without reading from it.
+// A connection with unread bytes is open.
 func Open(conn net.Conn) bool {
-	s := peek(conn)
+	s := peekState(conn)
 	return s == stateOpen || s == stateReadable
 }
 
-// Readable reports whether bytes of the peer wait to be read.
-func Readable(conn net.Conn) bool { return peek(conn) == stateReadable }
+// Readable reports whether the connection has unread bytes, without reading them.
+func Readable(conn net.Conn) bool { return peekState(conn) == stateReadable }
 
-type state int
+// socketState is what can be read from a socket without waiting.
+type socketState int
 
 const (
-	stateClosed state = iota
+	stateClosed socketState = iota
 	stateOpen
 	stateReadable
 )
 
-// peek looks at a socket without reading from it.
-func peek(conn net.Conn) state {
+// peekState returns the state of a socket without reading from it. A connection without a
+// socket counts as open.
+func peekState(conn net.Conn) socketState {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return stateOpen
@@ -217,8 +228,8 @@
 	return s
 }
 
-// LocalFault reports whether a dial failed for want of local resources, so that
-// it says nothing about the target.
+// LocalFault reports whether a dial failed because this host has no file descriptor or local
+// port left. Such an error must not count against the target.
 func LocalFault(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -8,48 +8,48 @@
 	"time"
 )
 
-// Defaults of the pool.
+// Defaults and limits of the pool.
 const (
-	dialTimeout = 2 * time.Second  // a connect without an answer for this long fails
-	idleLimit   = 15 * time.Second // shorter than the keep-alive time of common servers
-	idlePerHost = 64               // connections
-	// SweepInterval is how often Sweep is to be called.
+	defaultDialTimeout = 2 * time.Second  // of a connect
+	defaultIdleLimit   = 15 * time.Second // shorter than the keep-alive timeout of common servers
+	maxIdlePerHost     = 64               // connections
+	// SweepInterval is the interval at which Sweep should be called.
 	SweepInterval = 5 * time.Second
 )
 
-// Options set the bounds of a pool. Zero values mean the defaults.
+// Options configure a pool. A zero DialTimeout means 2 s, a zero IdleLimit 15 s.
 type Options struct {
 	DialTimeout time.Duration
-	IdleLimit   time.Duration
-	// Control sets options of a socket before it connects.
+	IdleLimit   time.Duration // longest idle time of a pooled connection
+	// Control sets options of a socket before it connects, as net.Dialer.Control.
 	Control func(network, address string, c syscall.RawConn) error
-	// KeepAlive finds a target that has gone silent without a reset.
+	// KeepAlive configures the probes that detect a target that disappeared without a reset.
 	KeepAlive net.KeepAliveConfig
 }
 
-// Pool keeps idle connections per address, newest first. It is safe for
-// concurrent use.
+// Pool holds idle connections by target address and returns the most recently used one
+// first. It is safe for concurrent use.
 type Pool struct {
-	opt    Options
-	mu     sync.Mutex
-	idle   map[string][]*Conn
-	closed bool
+	options Options
+	mu      sync.Mutex
+	idle    map[string][]*Conn
+	closed  bool
 }
 
 // NewPool returns an empty pool.
 func NewPool(o Options) *Pool {
 	if o.DialTimeout == 0 {
-		o.DialTimeout = dialTimeout
+		o.DialTimeout = defaultDialTimeout
 	}
 	if o.IdleLimit == 0 {
-		o.IdleLimit = idleLimit
+		o.IdleLimit = defaultIdleLimit
 	}
-	return &Pool{opt: o, idle: map[string][]*Conn{}}
+	return &Pool{options: o, idle: map[string][]*Conn{}}
 }
 
-// Dial opens a fresh connection.
+// Dial opens a new connection to an address.
 func (p *Pool) Dial(ctx context.Context, host string) (*Conn, error) {
-	dialer := net.Dialer{Timeout: p.opt.DialTimeout, Control: p.opt.Control, KeepAliveConfig: p.opt.KeepAlive}
+	dialer := net.Dialer{Timeout: p.options.DialTimeout, Control: p.options.Control, KeepAliveConfig: p.options.KeepAlive}
 	nc, err := dialer.DialContext(ctx, "tcp", host)
 	if err != nil {
 		return nil, err
@@ -57,18 +57,18 @@
 	return newConn(nc, host), nil
 }
 
-// Take returns an idle connection that is still open, or nil.
-func (p *Pool) Take(host string) *Conn { return p.TakeFresh(host, p.opt.IdleLimit) }
+// Take returns an idle connection to an address that is still open, or nil.
+func (p *Pool) Take(host string) *Conn { return p.TakeFresh(host, p.options.IdleLimit) }
 
-// TakeFresh returns an idle connection that was used within the limit and is
-// still open, or nil. Older ones are closed.
+// TakeFresh returns an idle connection to an address that was used within the limit and is
+// still open, or nil. Connections that do not qualify are closed.
 func (p *Pool) TakeFresh(host string, limit time.Duration) *Conn {
 	for {
 		c := p.Pop(host)
 		if c == nil {
 			return nil
 		}
-		if time.Since(c.idleSince) < min(limit, p.keep(c)) && c.alive() {
+		if time.Since(c.idleSince) < min(limit, p.maxIdle(c)) && c.reusable() {
 			c.Reused = true
 			return c
 		}
@@ -76,16 +76,17 @@
 	}
 }
 
-// keep returns how long a connection is kept idle: half of what the target says,
-// so that the target does not close it while a request is on its way.
-func (p *Pool) keep(c *Conn) time.Duration {
+// maxIdle returns how long a connection may stay idle in the pool: at most half of the
+// target's own limit, so that the target does not close it while a request is in transit.
+func (p *Pool) maxIdle(c *Conn) time.Duration {
 	if c.IdleLimit > 0 {
-		return min(p.opt.IdleLimit, c.IdleLimit/2)
+		return min(p.options.IdleLimit, c.IdleLimit/2)
 	}
-	return p.opt.IdleLimit
+	return p.options.IdleLimit
 }
 
-// Pop returns the newest idle connection, which the target may have closed, or nil.
+// Pop returns the most recently used idle connection to an address, or nil. The target may
+// have closed it.
 func (p *Pool) Pop(host string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,21 +99,22 @@
 	return c
 }
 
-// Put keeps a connection whose last answer was whole.
+// Put returns a connection to the pool. Its last response must have been read completely.
+// The connection is closed if the pool is closed or has 64 connections to the address.
 func (p *Pool) Put(c *Conn) {
-	c.check = nil
+	c.beforeSend = nil
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle[c.Host]) >= idlePerHost {
+	if p.closed || len(p.idle[c.Host]) >= maxIdlePerHost {
 		c.Release()
 		return
 	}
 	p.idle[c.Host] = append(p.idle[c.Host], c)
 }
 
-// Drop closes the idle connections to an address. After one of them failed or
-// went silent the others are suspect too.
+// Drop closes all idle connections to an address. After one of them failed or timed out, the
+// others may be unusable too.
 func (p *Pool) Drop(host string) {
 	p.mu.Lock()
 	list := p.idle[host]
@@ -123,21 +125,21 @@
 	}
 }
 
-// Sweep closes connections that were idle for too long.
+// Sweep closes the connections that have exceeded their idle limit.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for host, list := range p.idle {
-		keep := list[:0]
+		kept := list[:0]
 		for _, c := range list {
-			if time.Since(c.idleSince) < p.keep(c) {
-				keep = append(keep, c)
+			if time.Since(c.idleSince) < p.maxIdle(c) {
+				kept = append(kept, c)
 				continue
 			}
 			c.Release()
 		}
-		p.idle[host] = keep
-		if len(keep) == 0 {
+		p.idle[host] = kept
+		if len(kept) == 0 {
 			delete(p.idle, host)
 		}
 	}
@@ -150,7 +152,8 @@
 	return len(p.idle[host])
 }
 
-// Close closes all idle connections. Later ones are closed when they are put back.
+// Close closes all idle connections and the pool. Connections that are in use are closed
+// when they are put back.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/plugin/forward/call.go
+++ b/plugin/forward/call.go
@@ -15,17 +15,19 @@
 	"nutmegrouter/internal/targetconn"
 )
 
-// Bounds of the attempts of one request.
+// Limits on the attempts of one request.
 const (
-	// maxUnsent bounds the attempts that sent nothing. They cost a target nothing.
-	maxUnsent = 4
-	// freshFor is how long a kept connection is used again for a request that must
-	// not be repeated: one that the target closes meanwhile would lose the request.
-	freshFor = 700 * time.Millisecond
-	// leastTime is the time below which a further attempt is of no use.
-	leastTime = 20 * time.Millisecond
-	// comeBack is the advice after an attempt that a target has refused.
-	comeBack = 200 * time.Millisecond
+	// maxUnsentAttempts limits the attempts that failed before a byte was sent. They are
+	// limited separately from Route.MaxAttempts because they put no load on a target.
+	maxUnsentAttempts = 4
+	// maxIdleBeforeNonRetryable is how long a pooled connection may have been idle to be
+	// reused for a request that must not be retried: if the target closes the connection
+	// at that moment, the request is lost.
+	maxIdleBeforeNonRetryable = 700 * time.Millisecond
+	// minAttemptTime is the least time before the deadline that is worth an attempt.
+	minAttemptTime = 20 * time.Millisecond
+	// refusedRetryAfter is the RetryAfter of a request that no target accepted.
+	refusedRetryAfter = 200 * time.Millisecond
 )
 
 // Codes of refusals.
@@ -36,354 +38,380 @@
 	codeBroken      = "target_broken"
 )
 
-// call is one request of a caller across its attempts.
+// call is the state of one caller's request over all its attempts.
 type call struct {
-	f   *Forwarder
-	r   *api.ForwardRequest
+	fwd *Forwarder
+	req *api.ForwardRequest
 	ctx context.Context
 	log *slog.Logger
 
-	sends  int      // targets to which at least a byte was sent
-	unsent int      // attempts that sent nothing
-	maybe  bool     // a target may have run the request
-	tried  []string // targets
-	after  string   // last event delivered, for a resumed stream
+	sendCount      int      // attempts that sent at least one byte of the request
+	unsentAttempts int      // attempts that failed before a byte was sent
+	mayHaveRun     bool     // an attempt may have run the request on a target
+	triedTargets   []string // IDs of the targets of all attempts
+	lastEventID    string   // ID of the last delivered event, if a stream is being resumed
 }
 
-// attempt is the use of one target.
+// attempt is the placement of a request on one target and the exchange with it.
 type attempt struct {
-	c     *call
-	place api.Placement
-	x     *exchange.Exchange
-	sent  time.Duration // when the first byte was written; 0 = not yet
-	ended bool
+	call      *call
+	placement api.Placement
+	exchange  *exchange.Exchange
+	sentAt    time.Duration // kernel-clock time of the first byte; 0 = nothing sent
+	ended     bool
 }
 
-// fault is the failure of an attempt.
-type fault struct {
+// attemptFailure describes why an attempt returned no usable response.
+type attemptFailure struct {
 	outcome api.WorkOutcome
 	step    string
 	cause   error
-	// notRun reports that the target certainly has not run the request.
+	// notRun is true only if the target has certainly not run the request.
 	notRun bool
-	// answer is an error answer of the target that can be passed on.
-	answer *plainAnswer
+	// response is the target's error response, which can still be passed to the caller;
+	// nil if there is none.
+	response *plainResponse
 }
 
-// Precheck implements api.Forwarder.
+// Precheck implements api.Forwarder. Requests to plain services always pass.
 func (f *Forwarder) Precheck(r *api.ForwardRequest) *api.Refusal {
 	if r.Engine == nil {
 		return nil
 	}
-	return f.placer.Precheck((&call{f: f, r: r}).work())
+	return f.placer.Precheck((&call{fwd: f, req: r}).work())
 }
 
-// TurnedAway implements api.Forwarder.
+// TurnedAway implements api.Forwarder. Requests to plain services are not counted.
 func (f *Forwarder) TurnedAway(r *api.ForwardRequest) {
 	if r.Engine != nil {
-		f.placer.TurnedAway((&call{f: f, r: r}).work())
+		f.placer.TurnedAway((&call{fwd: f, req: r}).work())
 	}
 }
 
 // Forward implements api.Forwarder.
 func (f *Forwarder) Forward(ctx context.Context, r *api.ForwardRequest) (api.ForwardAnswer, error) {
-	c := &call{f: f, r: r, ctx: ctx, log: f.log.With("request", r.ID)}
-	f.budget.Request(r.Service, f.clock.Now())
+	c := &call{fwd: f, req: r, ctx: ctx, log: f.log.With("request", r.ID)}
+	f.retryBudget.Request(r.Service, f.clock.Now())
 	return c.run()
 }
 
-// run makes attempts until one gives an answer or no further one is allowed.
+// run makes attempts until one returns a response or no further attempt is allowed.
 func (c *call) run() (api.ForwardAnswer, error) {
 	for {
-		a, err := c.place()
+		att, err := c.requestPlacement()
 		if err != nil {
 			return nil, err
 		}
-		ans, flt := a.open()
-		if flt == nil {
-			return ans, nil
+		response, failure := att.open()
+		if failure == nil {
+			return response, nil
 		}
-		if err := c.callerLeft(flt); err != nil {
-			flt.discard()
+		if err := c.callerDisconnected(failure); err != nil {
+			failure.discard()
 			return nil, err
 		}
-		if why := c.stop(flt); why != "" {
-			c.log.Info("no further attempt", "step", "retry", "why", why, "sends", c.sends, "left_ms", c.left().Milliseconds())
-			if flt.answer != nil {
-				return flt.answer, nil
+		if reason := c.stopReason(failure); reason != "" {
+			c.log.Info("no further attempt", "step", "retry", "why", reason, "sends", c.sendCount,
+				"left_ms", c.remaining().Milliseconds())
+			if failure.response != nil {
+				return failure.response, nil
 			}
-			return nil, c.refusal(flt)
+			return nil, c.refusal(failure)
 		}
-		flt.discard()
-		c.log.Info("further attempt", "step", "retry", "after", string(flt.outcome), "sends", c.sends, "left_ms", c.left().Milliseconds())
+		failure.discard()
+		c.log.Info("further attempt", "step", "retry", "after", string(failure.outcome), "sends", c.sendCount,
+			"left_ms", c.remaining().Milliseconds())
 	}
 }
 
-// callerLeft returns context.Canceled if nobody waits for the answer any more.
-func (c *call) callerLeft(f *fault) error {
-	if errors.Is(f.cause, context.Canceled) && f.outcome == api.WorkUnsent {
+// callerDisconnected returns a non-nil error if the caller has disconnected or the
+// request's context has ended.
+func (c *call) callerDisconnected(failure *attemptFailure) error {
+	if errors.Is(failure.cause, context.Canceled) && failure.outcome == api.WorkUnsent {
 		return context.Canceled
 	}
 	return c.ctx.Err()
 }
 
-func (f *fault) discard() {
-	if f.answer != nil {
-		_ = f.answer.Close() // the answer was read to its end
+// discard frees the error response, if there is one.
+func (f *attemptFailure) discard() {
+	if f.response != nil {
+		_ = f.response.Close() // the response has been read completely
 	}
 }
 
-// place asks for a target. A refusal of the placer is truthful about this attempt
-// only, so an earlier one that may have run the request changes it.
-func (c *call) place() (*attempt, error) {
-	p, err := c.f.placer.Place(c.ctx, c.work())
+// requestPlacement waits for a placement and starts an attempt. A refusal of the placer
+// says that this attempt did not run. If an earlier attempt may have run the request, the
+// refusal is replaced by one that says so.
+func (c *call) requestPlacement() (*attempt, error) {
+	p, err := c.fwd.placer.Place(c.ctx, c.work())
 	if err == nil {
-		return &attempt{c: c, place: p}, nil
+		return &attempt{call: c, placement: p}, nil
 	}
-	var r *api.Refusal
-	if errors.As(err, &r) && c.maybe {
-		return nil, c.unknown(r.Code, r.Message)
+	var refusal *api.Refusal
+	if errors.As(err, &refusal) && c.mayHaveRun {
+		return nil, c.refusalRunUnknown(refusal.Code, refusal.Message)
 	}
 	return nil, err
 }
 
+// work describes the request to the placer.
 func (c *call) work() *api.Work {
 	return &api.Work{
-		RequestID: c.r.ID, Workspace: c.r.Workspace, Route: c.r.Route, Service: c.r.Service, Engine: c.r.Engine,
-		PromptTokens: c.r.Fields.PromptTokens, OutputTokens: c.f.outputs.guess(c.r), Prompt: c.r.Fields.Prompt,
-		Objective: c.r.Arrived - c.r.Waited + c.r.Route.Objective, Deadline: c.r.Deadline,
-		Tried: c.tried, Resumes: c.after != "",
+		RequestID: c.req.ID, Workspace: c.req.Workspace, Route: c.req.Route, Service: c.req.Service, Engine: c.req.Engine,
+		PromptTokens: c.req.Fields.PromptTokens, OutputTokens: c.fwd.outputLengths.estimate(c.req), Prompt: c.req.Fields.Prompt,
+		Objective: c.req.Arrived - c.req.Waited + c.req.Route.Objective, Deadline: c.req.Deadline,
+		Tried: c.triedTargets, Resumes: c.lastEventID != "",
 	}
 }
 
-func (c *call) left() time.Duration { return c.r.Deadline - c.f.clock.Now() }
+// remaining returns the time until the deadline.
+func (c *call) remaining() time.Duration { return c.req.Deadline - c.fwd.clock.Now() }
 
-// stop returns why no further attempt may follow a failed one, or "".
-func (c *call) stop(f *fault) string {
+// stopReason returns why no attempt may follow a failed one, or "" if one may. In that
+// case a retry after a send has been charged to the retry budget.
+func (c *call) stopReason(failure *attemptFailure) string {
 	switch {
-	case c.left() < leastTime:
-		return "no time left"
-	case f.outcome == api.WorkUnreachable || f.outcome == api.WorkUnsent:
-		if c.unsent >= maxUnsent {
-			return "too many targets without a connection"
+	case c.remaining() < minAttemptTime:
+		return "not enough time before the deadline"
+	case failure.outcome == api.WorkUnreachable || failure.outcome == api.WorkUnsent:
+		if c.unsentAttempts >= maxUnsentAttempts {
+			return "too many attempts without a connection"
 		}
 		return ""
-	case c.sends >= c.r.Route.MaxAttempts:
-		return "no attempt left on the route"
-	case !f.notRun && !c.r.Route.Repeatable():
-		return "it may have run and must not run twice"
-	case !c.f.budget.Repeat(c.r.Service, c.f.clock.Now()):
-		c.f.stats.overBudget.Inc()
-		return "the budget for repeats is used up"
+	case c.sendCount >= c.req.Route.MaxAttempts:
+		return "the route's attempts are used up"
+	case !failure.notRun && !c.req.Route.Repeatable():
+		return "the request may have run and the route allows no retry"
+	case !c.fwd.retryBudget.Repeat(c.req.Service, c.fwd.clock.Now()):
+		c.fwd.stats.retriesOverBudget.Inc()
+		return "the retry budget is used up"
 	}
-	c.f.stats.repeats.Inc()
+	c.fwd.stats.retries.Inc()
 	return ""
 }
 
-// refusal answers a request after its last attempt.
-func (c *call) refusal(f *fault) *api.Refusal {
+// refusal returns the refusal for a request whose last attempt has failed.
+func (c *call) refusal(failure *attemptFailure) *api.Refusal {
 	switch {
-	case c.maybe:
-		return c.unknown(codeBroken, "the request failed at its target")
-	case c.left() < leastTime:
-		return &api.Refusal{Code: codeDeadline, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: f.step,
+	case c.mayHaveRun:
+		return c.refusalRunUnknown(codeBroken, "the request failed at its target")
+	case c.remaining() < minAttemptTime:
+		return &api.Refusal{Code: codeDeadline, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: failure.step,
 			Message: "no target took the request in time"}
-	case f.outcome == api.WorkUnreachable || f.outcome == api.WorkUnsent:
-		return &api.Refusal{Code: codeUnreachable, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: f.step,
-			Message: "no target accepted a connection", RetryAfter: comeBack}
+	case failure.outcome == api.WorkUnreachable || failure.outcome == api.WorkUnsent:
+		return &api.Refusal{Code: codeUnreachable, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: failure.step,
+			Message: "no target accepted a connection", RetryAfter: refusedRetryAfter}
 	}
-	return &api.Refusal{Code: codeRefused, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: f.step,
-		Message: "the targets had no room", RetryAfter: comeBack}
+	return &api.Refusal{Code: codeRefused, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: failure.step,
+		Message: "the targets had no room", RetryAfter: refusedRetryAfter}
 }
 
-// unknown is a refusal of a request that a target may have run.
-func (c *call) unknown(code, message string) *api.Refusal {
+// refusalRunUnknown returns the refusal for a request that a target may have run. Its
+// status is 502, or 504 if the deadline is too close for a further attempt.
+func (c *call) refusalRunUnknown(code, message string) *api.Refusal {
 	status := fasthttp.StatusBadGateway
-	if c.left() < leastTime {
+	if c.remaining() < minAttemptTime {
 		code, status = codeDeadline, fasthttp.StatusGatewayTimeout
 	}
 	return &api.Refusal{Code: code, Status: status, Run: api.RunUnknown, Step: "forward", Message: message}
 }
 
-// open sends the request to the target and reads the begin of the answer.
-func (a *attempt) open() (api.ForwardAnswer, *fault) {
-	f, flt := a.head()
-	if flt != nil {
-		return nil, a.fail(flt)
+// open sends the request to the target and reads the response as far as needed to decide
+// whether it can be passed on.
+func (a *attempt) open() (api.ForwardAnswer, *attemptFailure) {
+	fields, failure := a.receiveHeader()
+	if failure != nil {
+		return nil, a.fail(failure)
 	}
-	a.c.f.stats.head.Update((a.c.f.clock.Now() - a.sent).Seconds())
-	return a.accept(f)
+	a.call.fwd.stats.headerSeconds.Update((a.call.fwd.clock.Now() - a.sentAt).Seconds())
+	return a.handleResponse(fields)
 }
 
-// head sends the request and reads the head of the target's own answer.
-func (a *attempt) head() (f api.AnswerFields, flt *fault) {
-	a.c.tried = append(a.c.tried, a.place.Target().ID)
-	if a.x, flt = a.exchange(); flt != nil {
-		return f, flt
+// receiveHeader sends the request and reads the header of the response to it.
+func (a *attempt) receiveHeader() (fields api.AnswerFields, failure *attemptFailure) {
+	a.call.triedTargets = append(a.call.triedTargets, a.placement.Target().ID)
+	if a.exchange, failure = a.connectAndSend(); failure != nil {
+		return fields, failure
 	}
-	return a.ownAnswer()
+	return a.matchResponse()
 }
 
-// exchange connects and sends. A reused connection that the target closed without
-// a byte is replaced by a fresh one, if the request may be repeated.
-func (a *attempt) exchange() (*exchange.Exchange, *fault) {
-	conn, flt := a.connect(false)
-	if flt != nil {
-		return nil, flt
+// connectAndSend sends the request over a pooled or new connection. If the target closed
+// a pooled connection without sending a byte, a request that may be retried is sent again
+// over a new one.
+func (a *attempt) connectAndSend() (*exchange.Exchange, *attemptFailure) {
+	conn, failure := a.connect(false)
+	if failure != nil {
+		return nil, failure
 	}
-	x, failure := a.send(conn)
-	if failure == nil {
-		return x, nil
+	exch, sendFailure := a.send(conn)
+	if sendFailure == nil {
+		return exch, nil
 	}
-	if stale(failure) && a.c.r.Route.Repeatable() && a.c.ctx.Err() == nil && a.c.f.budget.Repeat(a.c.r.Service, a.c.f.clock.Now()) {
-		if conn, flt = a.connect(true); flt != nil {
-			return nil, flt
+	if isStaleConnection(sendFailure) && a.call.req.Route.Repeatable() &&
+		a.call.ctx.Err() == nil &&
+		a.call.fwd.retryBudget.Repeat(a.call.req.Service, a.call.fwd.clock.Now()) {
+		if conn, failure = a.connect(true); failure != nil {
+			return nil, failure
 		}
-		if x, failure = a.send(conn); failure == nil {
-			return x, nil
+		if exch, sendFailure = a.send(conn); sendFailure == nil {
+			return exch, nil
 		}
 	}
-	return nil, a.classify(failure)
+	return nil, a.classify(sendFailure)
 }
 
-func stale(f *exchange.Failure) bool {
-	return f.Reused && f.Received == 0 && f.Sent > 0 && !errors.Is(f.Cause, os.ErrDeadlineExceeded)
+// isStaleConnection reports whether the target probably closed the connection while it
+// was idle in the pool.
+func isStaleConnection(sendFailure *exchange.Failure) bool {
+	return sendFailure.Reused && sendFailure.Received == 0 && sendFailure.Sent > 0 &&
+		!errors.Is(sendFailure.Cause, os.ErrDeadlineExceeded)
 }
 
-func (a *attempt) connect(fresh bool) (*targetconn.Conn, *fault) {
-	f, address := a.c.f, a.place.Target().Address
+// connect returns a connection to the target: a pooled one if fresh is false and one is
+// usable, a new one otherwise.
+func (a *attempt) connect(fresh bool) (*targetconn.Conn, *attemptFailure) {
+	f, address := a.call.fwd, a.placement.Target().Address
 	if !fresh {
-		limit := idleLimit
-		if !a.c.r.Route.Repeatable() {
-			limit = freshFor
+		limit := defaultIdleLimit
+		if !a.call.req.Route.Repeatable() {
+			limit = maxIdleBeforeNonRetryable
 		}
 		if conn := f.conns.TakeFresh(address, limit); conn != nil {
-			f.stats.reused.Inc()
+			f.stats.reusedConns.Inc()
 			return conn, nil
 		}
 	}
-	f.stats.fresh.Inc()
-	conn, err := f.conns.Dial(a.c.ctx, address)
+	f.stats.newConns.Inc()
+	conn, err := f.conns.Dial(a.call.ctx, address)
 	if err != nil {
 		outcome := api.WorkUnreachable
-		if targetconn.LocalFault(err) || a.c.ctx.Err() != nil {
+		if targetconn.LocalFault(err) || a.call.ctx.Err() != nil {
 			outcome = api.WorkUnsent
 		}
-		return nil, &fault{outcome: outcome, step: "connect", cause: err, notRun: true}
+		return nil, &attemptFailure{outcome: outcome, step: "connect", cause: err, notRun: true}
 	}
 	return conn, nil
 }
 
+// send writes the request and reads the response header, both before the deadline.
 func (a *attempt) send(conn *targetconn.Conn) (*exchange.Exchange, *exchange.Failure) {
-	h := a.c.header(a.place.Target())
-	defer fasthttp.ReleaseRequest(h)
-	left := a.c.left()
-	end := time.Now().Add(left)
-	b := exchange.Bounds{Silence: left, Head: end, Hard: end}
-	return exchange.Open(a.c.ctx, a.c.f.conns, conn, exchange.Request{Header: &h.Header, Body: a.c.r.Body}, b, a.begin)
+	header := a.call.header(a.placement.Target())
+	defer fasthttp.ReleaseRequest(header)
+	remaining := a.call.remaining()
+	deadline := time.Now().Add(remaining)
+	bounds := exchange.Bounds{Silence: remaining, Head: deadline, Hard: deadline}
+	return exchange.Open(a.call.ctx, a.call.fwd.conns, conn,
+		exchange.Request{Header: &header.Header, Body: a.call.req.Body}, bounds, a.beforeSend)
 }
 
-// errCallerLeft ends an attempt for a caller that has closed its connection.
-var errCallerLeft = errors.WithMessage(context.Canceled, "the caller has left")
+// errCallerDisconnected ends an attempt whose caller has closed its connection.
+var errCallerDisconnected = errors.WithMessage(context.Canceled, "the caller has disconnected")
 
-// begin is called immediately before the first byte is written. It looks at the
-// caller's connection itself: in a process without processor time left the watch is
-// late, and work would be sent for nobody.
-func (a *attempt) begin() error {
-	if p := a.c.r.Present; p != nil && !p() {
-		return errCallerLeft
+// beforeSend runs immediately before the first byte is written. It checks the caller's
+// connection directly: when the process is short of processor time, the goroutine that
+// watches the connection may not have noticed a disconnect, and the target would do work
+// that nobody needs.
+func (a *attempt) beforeSend() error {
+	if connected := a.call.req.Present; connected != nil && !connected() {
+		return errCallerDisconnected
 	}
-	if err := a.place.Sent(); err != nil {
+	if err := a.placement.Sent(); err != nil {
 		return err
 	}
-	if a.sent == 0 {
-		a.sent = a.c.f.clock.Now()
-		a.c.sends++
-		a.c.log.Info("sent", "step", "send", "target", a.place.Target().ID, "address", a.place.Target().Address,
-			"send", a.c.sends, "after", a.c.after, "left_ms", a.c.left().Milliseconds())
+	if a.sentAt == 0 {
+		a.sentAt = a.call.fwd.clock.Now()
+		a.call.sendCount++
+		a.call.log.Info("sent", "step", "send", "target", a.placement.Target().ID, "address", a.placement.Target().Address,
+			"send", a.call.sendCount, "after", a.call.lastEventID, "left_ms", a.call.remaining().Milliseconds())
 	}
 	return nil
 }
 
-// header returns the request line and headers for a target. The caller releases it.
+// header returns a request with the request line and headers for a target. The caller
+// must release it with fasthttp.ReleaseRequest.
 func (c *call) header(t api.Target) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
-	c.r.Header.CopyTo(&req.Header)
+	c.req.Header.CopyTo(&req.Header)
 	exchange.StripRequest(&req.Header)
 	req.Header.SetNoDefaultContentType(true)
-	c.f.dialect.Forward(&req.Header, api.TargetFields{
-		Workspace: c.r.Workspace, Deadline: c.left(), Target: t.ID, After: c.after,
+	c.fwd.dialect.Forward(&req.Header, api.TargetFields{
+		Workspace: c.req.Workspace, Deadline: c.remaining(), Target: t.ID, After: c.lastEventID,
 	})
 	return req
 }
 
-// classify turns a failed exchange into a fault.
-func (a *attempt) classify(e *exchange.Failure) *fault {
-	f := &fault{outcome: api.WorkBroken, step: e.Step, cause: e.Cause}
+// classify converts a failed exchange into the failure of the attempt.
+func (a *attempt) classify(sendFailure *exchange.Failure) *attemptFailure {
+	failure := &attemptFailure{outcome: api.WorkBroken, step: sendFailure.Step, cause: sendFailure.Cause}
 	switch {
-	case e.Sent == 0:
-		f.outcome, f.notRun = api.WorkUnsent, true
-		if a.sent != 0 {
-			f.outcome = api.WorkUnreachable
-			a.c.sends--
+	case sendFailure.Sent == 0:
+		failure.outcome, failure.notRun = api.WorkUnsent, true
+		if a.sentAt != 0 {
+			failure.outcome = api.WorkUnreachable
+			a.call.sendCount--
 		}
-	case a.c.ctx.Err() != nil:
-		f.outcome = api.WorkCancelled
-	case errors.Is(e.Cause, os.ErrDeadlineExceeded):
-		f.outcome = api.WorkLate
+	case a.call.ctx.Err() != nil:
+		failure.outcome = api.WorkCancelled
+	case errors.Is(sendFailure.Cause, os.ErrDeadlineExceeded):
+		failure.outcome = api.WorkLate
 	}
-	return f
+	return failure
 }
 
-// ownAnswer skips answers to earlier requests and checks that the answer is the
-// target's own.
-func (a *attempt) ownAnswer() (f api.AnswerFields, flt *fault) {
-	const maxStrays = 4
-	for range maxStrays {
-		f = a.c.f.dialect.Answer(&a.x.Resp.Header)
-		if f.ID == a.c.r.Fields.ID || (f.ID == "" && !a.x.Conn.Reused) {
-			return f, nil
+// matchResponse skips responses to other requests and checks that the response belongs to
+// this request. On a new connection, a response without a request ID is accepted.
+func (a *attempt) matchResponse() (fields api.AnswerFields, failure *attemptFailure) {
+	const maxStrayResponses = 4
+	for range maxStrayResponses {
+		fields = a.call.fwd.dialect.Answer(&a.exchange.Resp.Header)
+		if fields.ID == a.call.req.Fields.ID || (fields.ID == "" && !a.exchange.Conn.Reused) {
+			return fields, nil
 		}
-		if f.ID == "" {
-			return f, &fault{outcome: api.WorkBroken, step: "head", cause: targetconn.ErrNameless}
+		if fields.ID == "" {
+			return fields, &attemptFailure{outcome: api.WorkBroken, step: "head", cause: targetconn.ErrNameless}
 		}
-		a.c.f.stats.strays.Inc()
-		a.c.log.Warn("answer to another request dropped", "step", "head", "target", a.place.Target().ID, "belongs_to", f.ID)
-		if err := a.x.Skip(); err != nil {
-			return f, &fault{outcome: api.WorkBroken, step: "head", cause: err}
+		a.call.fwd.stats.strayResponses.Inc()
+		a.call.log.Warn("response to another request discarded", "step", "head", "target", a.placement.Target().ID, "belongs_to", fields.ID)
+		if err := a.exchange.Skip(); err != nil {
+			return fields, &attemptFailure{outcome: api.WorkBroken, step: "head", cause: err}
 		}
 	}
-	return f, &fault{outcome: api.WorkBroken, step: "head", cause: errors.New("too many answers to other requests")}
+	return fields, &attemptFailure{outcome: api.WorkBroken, step: "head", cause: errors.New("too many responses to other requests")}
 }
 
-// accept decides what an answer's head means.
-func (a *attempt) accept(f api.AnswerFields) (api.ForwardAnswer, *fault) {
-	status := a.x.Resp.StatusCode()
-	a.x.Conn.IdleLimit = f.IdleLimit
+// handleResponse decides by the response header whether the response is passed on or the
+// attempt has failed.
+func (a *attempt) handleResponse(fields api.AnswerFields) (api.ForwardAnswer, *attemptFailure) {
+	status := a.exchange.Resp.StatusCode()
+	a.exchange.Conn.IdleLimit = fields.IdleLimit
 	switch {
-	case f.NotRun:
+	case fields.NotRun:
 		outcome := api.WorkFull
-		if f.OtherTarget {
+		if fields.OtherTarget {
 			outcome = api.WorkOther
 		}
-		return nil, a.fail(&fault{outcome: outcome, step: "head", cause: errors.Errorf("status %d, not run", status), notRun: true})
-	case status < fasthttp.StatusOK || (status < fasthttp.StatusMultipleChoices && !f.Signed):
-		return nil, a.fail(&fault{outcome: api.WorkBroken, step: "head", cause: errors.Errorf("status %d without a signature", status)})
-	case promisesNotRun(status) && !a.c.r.Route.Repeatable():
-		return nil, a.fail(&fault{outcome: api.WorkFailed, step: "head", cause: errors.Errorf("status %d of a request that may have run", status)})
-	case isStream(a.c.r.Route, &a.x.Resp.Header):
-		a.place.Began()
+		return nil, a.fail(&attemptFailure{outcome: outcome, step: "head",
+			cause: errors.Errorf("status %d, the target has not run the request", status), notRun: true})
+	case status < fasthttp.StatusOK || (status < fasthttp.StatusMultipleChoices && !fields.Signed):
+		return nil, a.fail(&attemptFailure{outcome: api.WorkBroken, step: "head",
+			cause: errors.Errorf("status %d, response is not signed", status)})
+	case statusImpliesNotRun(status) && !a.call.req.Route.Repeatable():
+		return nil, a.fail(&attemptFailure{outcome: api.WorkFailed, step: "head",
+			cause: errors.Errorf("status %d, but the request may have run", status)})
+	case isStream(a.call.req.Route, &a.exchange.Resp.Header):
+		a.placement.Began()
 		return a.openStream()
 	}
-	a.place.Began()
-	return a.openPlain()
+	a.placement.Began()
+	return a.openPlainResponse()
 }
 
-// promisesNotRun reports whether callers take a status as the promise that the
-// request has not run. A target makes that promise by another header, so its
-// answer with such a status must not be passed on for a request that may not run
-// twice.
-func promisesNotRun(status int) bool {
+// statusImpliesNotRun reports whether callers conclude from a status that the request has
+// not run. Targets state that in a header instead, so a target's response with such a
+// status must not be passed on if the request must not run twice.
+func statusImpliesNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest, fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
 		return true
@@ -391,43 +419,46 @@
 	return false
 }
 
+// isStream reports whether a response is a stream of events.
 func isStream(r *routing.Route, h *fasthttp.ResponseHeader) bool {
 	return r.Kind == routing.Streaming && h.StatusCode() == fasthttp.StatusOK
 }
 
-// fail ends an attempt without an answer.
-func (a *attempt) fail(f *fault) *fault {
-	if f.outcome == api.WorkUnsent || f.outcome == api.WorkUnreachable {
-		a.c.unsent++
+// fail ends the attempt, logs the failure and returns it.
+func (a *attempt) fail(failure *attemptFailure) *attemptFailure {
+	if failure.outcome == api.WorkUnsent || failure.outcome == api.WorkUnreachable {
+		a.call.unsentAttempts++
 	}
-	if !f.notRun {
-		a.c.maybe = true
+	if !failure.notRun {
+		a.call.mayHaveRun = true
 	}
-	if f.outcome == api.WorkBroken || f.outcome == api.WorkLate || f.outcome == api.WorkOther {
-		a.c.f.conns.Drop(a.place.Target().Address)
+	if failure.outcome == api.WorkBroken || failure.outcome == api.WorkLate || failure.outcome == api.WorkOther {
+		a.call.fwd.conns.Drop(a.placement.Target().Address)
 	}
-	a.c.log.Warn("attempt failed", "step", f.step, "target", a.place.Target().ID, "outcome", string(f.outcome),
-		"not_run", f.notRun, "took_ms", a.took().Milliseconds(), "error", f.cause)
-	a.end(f.outcome, false)
-	return f
+	a.call.log.Warn("attempt failed", "step", failure.step, "target", a.placement.Target().ID, "outcome", string(failure.outcome),
+		"not_run", failure.notRun, "took_ms", a.elapsed().Milliseconds(), "error", failure.cause)
+	a.end(failure.outcome, false)
+	return failure
 }
 
-func (a *attempt) took() time.Duration {
-	if a.sent == 0 {
+// elapsed returns the time since the first byte was sent; 0 if nothing was sent.
+func (a *attempt) elapsed() time.Duration {
+	if a.sentAt == 0 {
 		return 0
 	}
-	return a.c.f.clock.Now() - a.sent
+	return a.call.fwd.clock.Now() - a.sentAt
 }
 
-// end gives the target free. The connection is kept only after a whole answer.
-func (a *attempt) end(o api.WorkOutcome, whole bool) {
+// end releases the target. Only the first call has an effect. The connection may return to
+// the pool only if the response is complete.
+func (a *attempt) end(outcome api.WorkOutcome, complete bool) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if a.x != nil {
-		a.x.Close(whole)
+	if a.exchange != nil {
+		a.exchange.Close(complete)
 	}
-	a.c.f.stats.outcome(a.c.r.Service, string(o))
-	a.place.End(o)
+	a.call.fwd.stats.countOutcome(a.call.req.Service, string(outcome))
+	a.placement.End(outcome)
 }
--- a/plugin/forward/outputs.go
+++ b/plugin/forward/outputs.go
@@ -6,42 +6,45 @@
 	"nutmegrouter/internal/api"
 )
 
-// outputWeight is the share of the newest stream in a route's mean length.
-const outputWeight = 0.05
+// newestStreamWeight is the weight of the newest stream in the exponentially weighted
+// mean length of a route's streams.
+const newestStreamWeight = 0.05
 
-// outputs keeps the mean length of the streams of each route, in tokens. What
-// callers state is only a bound.
-type outputs struct {
-	mu    sync.Mutex
-	means map[string]float64 // by route name
+// outputEstimator predicts how many tokens a request generates, from the mean length of
+// its route's streams. The limit that a caller states is only an upper bound. It is safe
+// for concurrent use.
+type outputEstimator struct {
+	mu         sync.Mutex
+	meanTokens map[string]float64 // mean stream length by route name
 }
 
-func newOutputs() *outputs { return &outputs{means: map[string]float64{}} }
+func newOutputEstimator() *outputEstimator { return &outputEstimator{meanTokens: map[string]float64{}} }
 
-// note counts a whole stream.
-func (o *outputs) note(r *api.ForwardRequest, events int) {
+// recordStream adds a complete stream to the mean of its route. Resumed streams and
+// requests without tokens are ignored.
+func (o *outputEstimator) recordStream(r *api.ForwardRequest, events int) {
 	if r.Engine == nil || r.Engine.EventTokens <= 0 || r.Fields.After != "" {
 		return
 	}
 	tokens := float64(events * r.Engine.EventTokens)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if mean, ok := o.means[r.Route.Name]; ok {
-		tokens = mean + outputWeight*(tokens-mean)
+	if mean, ok := o.meanTokens[r.Route.Name]; ok {
+		tokens = mean + newestStreamWeight*(tokens-mean)
 	}
-	o.means[r.Route.Name] = tokens
+	o.meanTokens[r.Route.Name] = tokens
 }
 
-// guess returns the tokens that a request probably generates: the route's mean,
-// or a part of the caller's bound while none is known. A caller's own hint is
-// often far off, so it counts as much as the mean.
-func (o *outputs) guess(r *api.ForwardRequest) int {
-	const boundShare = 0.4 // of the bound, before the first stream has ended
+// estimate returns the number of tokens that a request probably generates: the route's
+// mean, or a share of the caller's limit before the first stream has ended. A caller's
+// hint is often far off, so it is averaged with the mean.
+func (o *outputEstimator) estimate(r *api.ForwardRequest) int {
+	const limitShare = 0.4 // of the caller's limit
 	o.mu.Lock()
-	mean, ok := o.means[r.Route.Name]
+	mean, ok := o.meanTokens[r.Route.Name]
 	o.mu.Unlock()
 	if !ok {
-		mean = boundShare * float64(r.Fields.OutputTokens)
+		mean = limitShare * float64(r.Fields.OutputTokens)
 	}
 	if r.Fields.OutputHint > 0 {
 		mean = (mean + float64(r.Fields.OutputHint)) / 2
--- a/plugin/forward/plain.go
+++ b/plugin/forward/plain.go
@@ -10,85 +10,86 @@
 	"nutmegrouter/internal/overload"
 )
 
-// wholeLimit bounds the answers that are read whole before the caller gets the
-// head. Until then a failed target can be replaced by another one.
-const wholeLimit = 1 << 20 // bytes
+// maxBufferedResponse is the size up to which a response is read completely before the
+// caller gets its header. Until then another attempt can replace a failed one.
+const maxBufferedResponse = 1 << 20 // bytes
 
-// plainAnswer is an answer that is not a stream of events.
-type plainAnswer struct {
-	a      *attempt
-	header fasthttp.ResponseHeader
-	held   *overload.Buffer
-	body   []byte // the whole body, or its begin
-	whole  bool
-	done   bool
+// plainResponse is a response that is not a stream of events.
+type plainResponse struct {
+	attempt  *attempt
+	header   fasthttp.ResponseHeader
+	buffer   *overload.Buffer
+	body     []byte // the whole body, or its buffered beginning that is not yet read
+	complete bool   // the body was read to its end and is in body
+	finished bool   // the attempt has ended
 }
 
-// openPlain reads an answer of usual length whole. An error answer to a request
-// that may be repeated becomes a fault that holds the answer.
-func (a *attempt) openPlain() (api.ForwardAnswer, *fault) {
-	p := &plainAnswer{a: a, held: overload.NewBuffer(a.c.f.answers)}
-	a.x.Resp.Header.CopyTo(&p.header)
-	_, err := io.CopyN(p.held, a.x, wholeLimit)
-	p.body = p.held.Bytes()
+// openPlainResponse reads a response of up to maxBufferedResponse bytes completely. A 5xx
+// response to a request that may be retried becomes a failure with that response.
+func (a *attempt) openPlainResponse() (api.ForwardAnswer, *attemptFailure) {
+	p := &plainResponse{attempt: a, buffer: overload.NewBuffer(a.call.fwd.responseMemory)}
+	a.exchange.Resp.Header.CopyTo(&p.header)
+	_, err := io.CopyN(p.buffer, a.exchange, maxBufferedResponse)
+	p.body = p.buffer.Bytes()
 	switch {
 	case err == nil:
-		return p, nil // longer; the rest is passed on as it arrives
+		return p, nil // longer: the rest is passed on as it arrives
 	case err != io.EOF:
-		p.held.Free()
-		return nil, a.fail(a.unread("body", err))
+		p.buffer.Free()
+		return nil, a.fail(a.readFailure("body", err))
 	}
-	p.whole = true
+	p.complete = true
 	status := p.header.StatusCode()
 	if status < fasthttp.StatusInternalServerError {
 		p.finish(api.WorkServed)
 		return p, nil
 	}
-	a.c.maybe = true
+	a.call.mayHaveRun = true
 	p.finish(api.WorkFailed)
-	if !a.c.r.Route.Repeatable() {
+	if !a.call.req.Route.Repeatable() {
 		return p, nil
 	}
-	return nil, &fault{outcome: api.WorkFailed, step: "body", answer: p}
+	return nil, &attemptFailure{outcome: api.WorkFailed, step: "body", response: p}
 }
 
-// unread is the fault of an answer that cannot be read to its end. Where this instance
-// has no memory for it, it says nothing about the target.
-func (a *attempt) unread(step string, err error) *fault {
-	f := &fault{outcome: a.brokenBy(err), step: step, cause: err}
+// readFailure describes a response that could not be read to its end. If this instance
+// had no memory for it, the outcome does not count against the target.
+func (a *attempt) readFailure(step string, err error) *attemptFailure {
+	failure := &attemptFailure{outcome: a.readOutcome(err), step: step, cause: err}
 	if errors.Is(err, overload.ErrNoMemory) {
-		a.c.f.stats.noMemory.Inc()
-		f.outcome = api.WorkCancelled
+		a.call.fwd.stats.outOfMemory.Inc()
+		failure.outcome = api.WorkCancelled
 	}
-	return f
+	return failure
 }
 
-func (p *plainAnswer) finish(o api.WorkOutcome) {
-	p.done = true
-	took := p.a.took()
-	p.a.c.f.stats.whole.Update(took.Seconds())
-	p.a.c.log.Info("answered", "step", "body", "target", p.a.place.Target().ID, "outcome", string(o),
-		"status", p.header.StatusCode(), "bytes", len(p.body), "took_ms", took.Milliseconds())
-	p.a.end(o, o != api.WorkBroken && o != api.WorkCancelled)
+// finish logs the end of the response and ends the attempt.
+func (p *plainResponse) finish(outcome api.WorkOutcome) {
+	p.finished = true
+	elapsed := p.attempt.elapsed()
+	p.attempt.call.fwd.stats.responseSeconds.Update(elapsed.Seconds())
+	p.attempt.call.log.Info("answered", "step", "body", "target", p.attempt.placement.Target().ID, "outcome", string(outcome),
+		"status", p.header.StatusCode(), "bytes", len(p.body), "took_ms", elapsed.Milliseconds())
+	p.attempt.end(outcome, outcome != api.WorkBroken && outcome != api.WorkCancelled)
 }
 
 // Header implements api.ForwardAnswer.
-func (p *plainAnswer) Header() *fasthttp.ResponseHeader { return &p.header }
+func (p *plainResponse) Header() *fasthttp.ResponseHeader { return &p.header }
 
 // Whole implements api.ForwardAnswer.
-func (p *plainAnswer) Whole() ([]byte, bool) { return p.body, p.whole }
+func (p *plainResponse) Whole() ([]byte, bool) { return p.body, p.complete }
 
 // Read implements api.ForwardAnswer.
-func (p *plainAnswer) Read(b []byte) (int, error) {
+func (p *plainResponse) Read(b []byte) (int, error) {
 	if len(p.body) > 0 {
 		n := copy(b, p.body)
 		p.body = p.body[n:]
 		return n, nil
 	}
-	if p.done {
+	if p.finished {
 		return 0, io.EOF
 	}
-	n, err := p.a.x.Read(b)
+	n, err := p.attempt.exchange.Read(b)
 	switch {
 	case err == io.EOF:
 		p.finish(api.WorkServed)
@@ -99,11 +100,11 @@
 }
 
 // Close implements api.ForwardAnswer.
-func (p *plainAnswer) Close() error {
-	if !p.done {
+func (p *plainResponse) Close() error {
+	if !p.finished {
 		p.finish(api.WorkCancelled)
 	}
-	p.held.Free()
+	p.buffer.Free()
 	p.body = nil
 	return nil
 }
--- a/plugin/forward/setup.go
+++ b/plugin/forward/setup.go
@@ -1,5 +1,6 @@
-// Package forward sends a caller's request to a target that the placer chose, and
-// repeats or resumes it where the route allows. It provides api.Forwarder.
+// Package forward is a reverse proxy plug-in: it sends a caller's request to the target
+// that the placer chose, and retries it or resumes its stream where the route allows. It
+// provides api.Forwarder.
 package forward
 
 import (
@@ -30,34 +31,36 @@
 
 // Forwarder implements api.Forwarder. It must be provisioned before use.
 type Forwarder struct {
-	placer   api.Placer
-	dialect  api.Dialect
-	topology api.Topology
-	clock    kernel.Clock
-	log      *slog.Logger
-	conns    *targetconn.Pool
-	budget   *retrybudget.Budget
-	outputs  *outputs
-	answers  *overload.Bytes // memory of answers that are read whole and of events
-	stats    *stats
+	placer         api.Placer
+	dialect        api.Dialect
+	topology       api.Topology
+	clock          kernel.Clock
+	log            *slog.Logger
+	conns          *targetconn.Pool
+	retryBudget    *retrybudget.Budget
+	outputLengths  *outputEstimator
+	responseMemory *overload.Bytes // memory of buffered responses and of events
+	stats          *stats
 }
 
-// Bounds of connections to targets.
+// Settings of connections to targets and of response memory.
 const (
-	// dialLimit bounds a connect. Targets are a few milliseconds away; a dark one
-	// does not answer at all.
-	dialLimit = 400 * time.Millisecond
-	// silentLimit is how long sent bytes may stay unacknowledged, and how long an
-	// idle peer may not answer probes, before the connection counts as dead.
-	silentLimit = 1200 * time.Millisecond
-	probeAfter  = 400 * time.Millisecond
-	probeEvery  = 400 * time.Millisecond
-	probeCount  = 2
-	// idleLimit is how long connections without a stated limit are kept.
-	idleLimit = 4 * time.Second
-	// answersShare is the part of the memory that answers take beside the buffers of their
-	// requests, which the gateway counts.
-	answersShare = 0.15
+	// dialTimeout is far above the connect time of a reachable target, which is a few
+	// milliseconds away. An unreachable one does not respond at all.
+	dialTimeout = 400 * time.Millisecond
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection. The keep-alive probes find a dead peer of an idle
+	// connection within the same time.
+	tcpUserTimeout    = 1200 * time.Millisecond
+	keepAliveIdle     = 400 * time.Millisecond
+	keepAliveInterval = 400 * time.Millisecond
+	keepAliveProbes   = 2
+	// defaultIdleLimit is how long an idle connection is pooled if the target states no
+	// limit.
+	defaultIdleLimit = 4 * time.Second
+	// responseMemoryShare is the share of the configured memory for responses. The buffers
+	// of requests are separate: the gateway counts them.
+	responseMemoryShare = 0.15
 )
 
 // Provision implements kernel.Plugin.
@@ -72,52 +75,54 @@
 		return err
 	}
 	f.clock, f.log = c.Clock, c.Log.With("plugin", "forward")
-	f.stats, f.outputs = newStats(c.Metrics), newOutputs()
-	f.answers = overload.NewBytes(int64(answersShare * c.Settings.Routes.MemoryMB * (1 << 20)))
-	c.Metrics.NewGauge("nutmeg_forward_answer_bytes", func() float64 { return float64(f.answers.Held()) })
-	f.budget = newBudget(c.Settings.Routes.Bounds)
-	f.shareBudget()
+	f.stats, f.outputLengths = newStats(c.Metrics), newOutputEstimator()
+	f.responseMemory = overload.NewBytes(int64(responseMemoryShare * c.Settings.Routes.MemoryMB * (1 << 20)))
+	c.Metrics.NewGauge("nutmeg_forward_answer_bytes", func() float64 { return float64(f.responseMemory.Held()) })
+	f.retryBudget = newRetryBudget(c.Settings.Routes.Bounds)
+	f.updateRetryBudget()
 	f.conns = targetconn.NewPool(targetconn.Options{
-		DialTimeout: dialLimit, IdleLimit: idleLimit, Control: setUserTimeout,
-		KeepAlive: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount},
+		DialTimeout: dialTimeout, IdleLimit: defaultIdleLimit, Control: setTCPUserTimeout,
+		KeepAlive: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 	})
 	return kernel.Provide[api.Forwarder](c, f)
 }
 
-// newBudget takes the part of the bounds that one instance may use by itself.
-func newBudget(b settings.Bounds) *retrybudget.Budget {
+// newRetryBudget returns a retry budget with the configured bounds.
+func newRetryBudget(b settings.Bounds) *retrybudget.Budget {
 	return retrybudget.New(retrybudget.Config{
 		Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: settings.Ms(b.RetryWindowMs),
 	})
 }
 
-// budgetInterval is how often the number of entry instances is asked for. It changes
-// far more slowly than the window of the budget ends.
-const budgetInterval = time.Second
+// retryBudgetInterval is how often the number of entry instances is read. The number
+// changes far more slowly than the window of the budget ends.
+const retryBudgetInterval = time.Second
 
-// shareBudget takes this instance's part of the slack that all entry instances share.
-func (f *Forwarder) shareBudget() { f.budget.SetInstances(f.topology.Entries()) }
+// updateRetryBudget adjusts this instance's part of the slack to the number of entry
+// instances, which share it.
+func (f *Forwarder) updateRetryBudget() { f.retryBudget.SetInstances(f.topology.Entries()) }
 
-// setUserTimeout ends a connection whose peer has gone silent without a reset.
-func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+// setTCPUserTimeout makes the kernel close a connection whose peer stops acknowledging
+// without a reset. It is a net.Dialer.Control function.
+func setTCPUserTimeout(_, _ string, c syscall.RawConn) error {
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentLimit.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 // Start implements kernel.Starter.
 func (f *Forwarder) Start(d *kernel.Duties) error {
-	d.Every("forward budget", budgetInterval, func(context.Context) { f.shareBudget() })
+	d.Every("forward budget", retryBudgetInterval, func(context.Context) { f.updateRetryBudget() })
 	d.Every("forward idle connections", targetconn.SweepInterval, func(context.Context) { f.conns.Sweep() })
 	return nil
 }
 
-// Cleanup implements kernel.Cleaner.
+// Cleanup implements kernel.Cleaner. It closes the idle connections to targets.
 func (f *Forwarder) Cleanup() error {
 	f.conns.Close()
 	return nil
--- a/plugin/forward/stats.go
+++ b/plugin/forward/stats.go
@@ -4,32 +4,32 @@
 
 // stats are the counters and histograms of this plug-in.
 type stats struct {
-	set                         *metrics.Set
-	reused, fresh               *metrics.Counter
-	repeats, overBudget         *metrics.Counter
-	resumes, strays, duplicates *metrics.Counter
-	noMemory                    *metrics.Counter
-	head, gap, whole            *metrics.Histogram
+	set                                             *metrics.Set
+	reusedConns, newConns                           *metrics.Counter
+	retries, retriesOverBudget                      *metrics.Counter
+	resumes, strayResponses, duplicateEvents        *metrics.Counter
+	outOfMemory                                     *metrics.Counter
+	headerSeconds, eventGapSeconds, responseSeconds *metrics.Histogram
 }
 
 func newStats(set *metrics.Set) *stats {
 	return &stats{
-		set:        set,
-		reused:     set.NewCounter(`nutmeg_forward_connections_total{kind="reused"}`),
-		fresh:      set.NewCounter(`nutmeg_forward_connections_total{kind="fresh"}`),
-		repeats:    set.NewCounter("nutmeg_forward_repeats_total"),
-		overBudget: set.NewCounter("nutmeg_forward_repeats_over_budget_total"),
-		resumes:    set.NewCounter("nutmeg_forward_resumes_total"),
-		strays:     set.NewCounter("nutmeg_forward_stray_answers_total"),
-		duplicates: set.NewCounter("nutmeg_forward_duplicate_events_total"),
-		noMemory:   set.NewCounter("nutmeg_forward_no_memory_total"),
-		head:       set.NewHistogram("nutmeg_forward_head_seconds"),
-		gap:        set.NewHistogram("nutmeg_forward_event_gap_seconds"),
-		whole:      set.NewHistogram("nutmeg_forward_answer_seconds"),
+		set:               set,
+		reusedConns:       set.NewCounter(`nutmeg_forward_connections_total{kind="reused"}`),
+		newConns:          set.NewCounter(`nutmeg_forward_connections_total{kind="fresh"}`),
+		retries:           set.NewCounter("nutmeg_forward_repeats_total"),
+		retriesOverBudget: set.NewCounter("nutmeg_forward_repeats_over_budget_total"),
+		resumes:           set.NewCounter("nutmeg_forward_resumes_total"),
+		strayResponses:    set.NewCounter("nutmeg_forward_stray_answers_total"),
+		duplicateEvents:   set.NewCounter("nutmeg_forward_duplicate_events_total"),
+		outOfMemory:       set.NewCounter("nutmeg_forward_no_memory_total"),
+		headerSeconds:     set.NewHistogram("nutmeg_forward_head_seconds"),
+		eventGapSeconds:   set.NewHistogram("nutmeg_forward_event_gap_seconds"),
+		responseSeconds:   set.NewHistogram("nutmeg_forward_answer_seconds"),
 	}
 }
 
-// outcome counts how the use of a target ended.
-func (s *stats) outcome(service, outcome string) {
+// countOutcome counts an ended attempt by service and outcome.
+func (s *stats) countOutcome(service, outcome string) {
 	s.set.GetOrCreateCounter(`nutmeg_forward_outcomes_total{service="` + service + `",outcome="` + outcome + `"}`).Inc()
 }
--- a/plugin/forward/stream.go
+++ b/plugin/forward/stream.go
@@ -13,88 +13,90 @@
 )
 
 var (
-	errGap  = errors.New("events are missing from the stream")
-	errTorn = errors.New("the stream ended inside an event")
+	errMissingEvents  = errors.New("event numbers are missing from the stream")
+	errTruncatedEvent = errors.New("the stream ended within an event")
 )
 
-// streamAnswer is a stream of numbered events. It delivers whole events, each once
-// and in order, goes on at another target where the route allows, and ends with
-// io.EOF only after the whole stream.
-type streamAnswer struct {
-	c      *call
-	a      *attempt
-	header fasthttp.ResponseHeader // of the first target
-	events *sse.Reader
-
-	last     uint64 // newest delivered number
-	numbered bool
-	count    int // events delivered
-	seenAt   time.Duration
-	out      []byte // bytes to deliver before the next event
-	err      error  // end of the answer, set once
+// streamResponse is a response that is a stream of events. It delivers complete events,
+// numbered ones exactly once and in order. If a target fails, it resumes the stream at
+// another target where the route allows. It returns io.EOF only after the whole stream.
+type streamResponse struct {
+	call    *call
+	attempt *attempt
+	header  fasthttp.ResponseHeader // of the first target's response
+	reader  *sse.Reader
+
+	lastID      uint64 // number of the last delivered event, valid if numbered
+	numbered    bool
+	delivered   int           // events with data that were delivered
+	lastEventAt time.Duration // on the kernel clock
+	pending     []byte        // unread bytes of the current event
+	err         error         // result of Read after pending; set once, at the end of the response
 }
 
-// openStream waits for the first event, so that a target that dies before it can
-// be replaced by another one.
-func (a *attempt) openStream() (api.ForwardAnswer, *fault) {
-	s := &streamAnswer{c: a.c}
-	a.x.Resp.Header.CopyTo(&s.header)
-	if after, err := strconv.ParseUint(a.c.r.Fields.After, 10, 64); err == nil {
-		s.last, s.numbered = after, true
+// openStream waits for the first event, so that another attempt can replace a target that
+// fails before it.
+func (a *attempt) openStream() (api.ForwardAnswer, *attemptFailure) {
+	s := &streamResponse{call: a.call}
+	a.exchange.Resp.Header.CopyTo(&s.header)
+	if after, err := strconv.ParseUint(a.call.req.Fields.After, 10, 64); err == nil {
+		s.lastID, s.numbered = after, true
 	}
 	s.attach(a)
-	for len(s.out) == 0 && s.err == nil {
-		if err := s.step(); err != nil {
-			s.events.Release()
-			return nil, a.fail(a.unread("first event", err))
+	for len(s.pending) == 0 && s.err == nil {
+		if err := s.readEvent(); err != nil {
+			s.reader.Release()
+			return nil, a.fail(a.readFailure("first event", err))
 		}
 	}
-	a.c.log.Info("stream began", "step", "stream", "target", a.place.Target().ID, "first_ms", a.took().Milliseconds())
+	a.call.log.Info("stream began", "step", "stream", "target", a.placement.Target().ID, "first_ms", a.elapsed().Milliseconds())
 	return s, nil
 }
 
-func (s *streamAnswer) attach(a *attempt) {
-	s.a, s.events, s.seenAt = a, sse.NewReader(a.x, a.c.f.answers), a.c.f.clock.Now()
+// attach makes the response read its events from an attempt.
+func (s *streamResponse) attach(a *attempt) {
+	s.attempt, s.reader, s.lastEventAt = a, sse.NewReader(a.exchange, a.call.fwd.responseMemory), a.call.fwd.clock.Now()
 }
 
-// brokenBy tells apart a caller that left from a target that failed.
-func (a *attempt) brokenBy(err error) api.WorkOutcome {
+// readOutcome returns the outcome of an attempt whose response could not be read: the caller
+// disconnected, the deadline is near, or the target failed.
+func (a *attempt) readOutcome(err error) api.WorkOutcome {
 	switch {
-	case a.c.ctx.Err() != nil:
+	case a.call.ctx.Err() != nil:
 		return api.WorkCancelled
-	case a.c.left() < leastTime:
+	case a.call.remaining() < minAttemptTime:
 		return api.WorkLate
 	}
 	return api.WorkBroken
 }
 
 // Header implements api.ForwardAnswer.
-func (s *streamAnswer) Header() *fasthttp.ResponseHeader { return &s.header }
+func (s *streamResponse) Header() *fasthttp.ResponseHeader { return &s.header }
 
 // Whole implements api.ForwardAnswer.
-func (s *streamAnswer) Whole() ([]byte, bool) { return nil, false }
+func (s *streamResponse) Whole() ([]byte, bool) { return nil, false }
 
 // Read implements api.ForwardAnswer.
-func (s *streamAnswer) Read(p []byte) (int, error) {
-	for len(s.out) == 0 {
+func (s *streamResponse) Read(p []byte) (int, error) {
+	for len(s.pending) == 0 {
 		if s.err != nil {
 			return 0, s.err
 		}
-		if err := s.step(); err != nil {
-			s.recover(err)
+		if err := s.readEvent(); err != nil {
+			s.resumeOrEnd(err)
 		}
 	}
-	n := copy(p, s.out)
-	s.out = s.out[n:]
+	n := copy(p, s.pending)
+	s.pending = s.pending[n:]
 	return n, nil
 }
 
-// step takes one event from the target. The end of the stream sets s.err.
-func (s *streamAnswer) step() error {
-	e, err := s.events.Next()
+// readEvent reads one event from the target. At the end of the stream it sets s.err.
+func (s *streamResponse) readEvent() error {
+	e, err := s.reader.Next()
 	if err == io.EOF {
-		if s.events.Rest() > 0 {
-			return errTorn
+		if s.reader.Rest() > 0 {
+			return errTruncatedEvent
 		}
 		s.finish()
 		return nil
@@ -102,54 +104,57 @@
 	if err != nil {
 		return err
 	}
-	now := s.c.f.clock.Now()
-	s.c.f.stats.gap.Update((now - s.seenAt).Seconds())
-	s.seenAt = now
+	now := s.call.fwd.clock.Now()
+	s.call.fwd.stats.eventGapSeconds.Update((now - s.lastEventAt).Seconds())
+	s.lastEventAt = now
 	return s.deliver(&e)
 }
 
-// deliver checks the number of an event.
-func (s *streamAnswer) deliver(e *sse.Event) error {
+// deliver checks the number of an event and makes it pending. It drops events that were
+// already delivered and fails if events are missing before this one.
+func (s *streamResponse) deliver(e *sse.Event) error {
 	switch {
 	case !e.HasID:
-	case s.numbered && e.ID <= s.last:
-		s.c.f.stats.duplicates.Inc()
+	case s.numbered && e.ID <= s.lastID:
+		s.call.fwd.stats.duplicateEvents.Inc()
 		return nil
-	case s.numbered && e.ID != s.last+1:
-		return errGap
+	case s.numbered && e.ID != s.lastID+1:
+		return errMissingEvents
 	default:
-		s.last, s.numbered = e.ID, true
+		s.lastID, s.numbered = e.ID, true
 	}
-	s.out = e.Raw
+	s.pending = e.Raw
 	if e.HasData {
-		s.count++
-		s.a.place.Progress(s.count)
+		s.delivered++
+		s.attempt.placement.Progress(s.delivered)
 	}
 	return nil
 }
 
-// finish ends a whole stream.
-func (s *streamAnswer) finish() {
+// finish ends a complete stream.
+func (s *streamResponse) finish() {
 	s.err = io.EOF
-	s.events.Release()
-	took := s.a.took()
-	s.c.f.outputs.note(s.c.r, s.count)
-	s.c.f.stats.whole.Update(took.Seconds())
-	s.c.log.Info("answered", "step", "stream", "target", s.a.place.Target().ID, "events", s.count, "took_ms", took.Milliseconds())
-	s.a.end(api.WorkServed, true)
+	s.reader.Release()
+	elapsed := s.attempt.elapsed()
+	s.call.fwd.outputLengths.recordStream(s.call.req, s.delivered)
+	s.call.fwd.stats.responseSeconds.Update(elapsed.Seconds())
+	s.call.log.Info("answered", "step", "stream", "target", s.attempt.placement.Target().ID,
+		"events", s.delivered, "took_ms", elapsed.Milliseconds())
+	s.attempt.end(api.WorkServed, true)
 }
 
-// recover goes on at another target after a failure, or ends the answer.
-func (s *streamAnswer) recover(cause error) {
-	s.events.Release()
-	s.a.fail(s.a.unread("stream", cause))
+// resumeOrEnd resumes the stream at another target after a failure, or ends the response
+// with an error.
+func (s *streamResponse) resumeOrEnd(cause error) {
+	s.reader.Release()
+	s.attempt.fail(s.attempt.readFailure("stream", cause))
 	for {
-		if s.c.ctx.Err() != nil {
-			s.err = s.c.ctx.Err()
+		if s.call.ctx.Err() != nil {
+			s.err = s.call.ctx.Err()
 			return
 		}
-		if why := s.stop(); why != "" {
-			s.c.log.Warn("stream broken", "step", "stream", "events", s.count, "last", s.last, "why", why)
+		if reason := s.stopReason(); reason != "" {
+			s.call.log.Warn("stream broken", "step", "stream", "events", s.delivered, "last", s.lastID, "why", reason)
 			s.err = errors.WithMessage(cause, "stream broken")
 			return
 		}
@@ -159,48 +164,51 @@
 	}
 }
 
-// stop returns why the stream cannot go on at another target, or "".
-func (s *streamAnswer) stop() string {
-	if !s.numbered && s.count > 0 {
-		return "its events have no numbers"
+// stopReason returns why the stream cannot be resumed at another target, or "" if it can.
+func (s *streamResponse) stopReason() string {
+	if !s.numbered && s.delivered > 0 {
+		return "the events have no numbers"
 	}
-	return s.c.stop(&fault{outcome: api.WorkBroken})
+	return s.call.stopReason(&attemptFailure{outcome: api.WorkBroken})
 }
 
-// resume opens the rest of the stream at another target.
-func (s *streamAnswer) resume() bool {
-	if s.numbered { // else it begins anew
-		s.c.after = strconv.FormatUint(s.last, 10)
+// resume requests the rest of the stream from another target and reports whether that
+// succeeded.
+func (s *streamResponse) resume() bool {
+	if s.numbered { // otherwise no data was delivered, and the stream starts from its beginning
+		s.call.lastEventID = strconv.FormatUint(s.lastID, 10)
 	}
-	s.c.f.stats.resumes.Inc()
-	a, err := s.c.place()
+	s.call.fwd.stats.resumes.Inc()
+	next, err := s.call.requestPlacement()
 	if err != nil {
-		s.c.log.Info("no target for the rest of the stream", "step", "resume", "error", err)
-		s.c.sends = s.c.r.Route.MaxAttempts // a further question would be answered alike
+		s.call.log.Info("no target to resume the stream", "step", "resume", "error", err)
+		// Another request for a placement would be refused too, so no further attempt is made.
+		s.call.sendCount = s.call.req.Route.MaxAttempts
 		return false
 	}
-	f, flt := a.head()
-	if flt != nil {
-		a.fail(flt)
+	fields, failure := next.receiveHeader()
+	if failure != nil {
+		next.fail(failure)
 		return false
 	}
-	if !isStream(s.c.r.Route, &a.x.Resp.Header) || !f.Signed || f.NotRun {
-		a.fail(&fault{outcome: api.WorkFull, step: "resume", cause: errors.Errorf("status %d", a.x.Resp.StatusCode()), notRun: f.NotRun})
+	if !isStream(s.call.req.Route, &next.exchange.Resp.Header) || !fields.Signed || fields.NotRun {
+		next.fail(&attemptFailure{outcome: api.WorkFull, step: "resume",
+			cause: errors.Errorf("status %d", next.exchange.Resp.StatusCode()), notRun: fields.NotRun})
 		return false
 	}
-	a.place.Began()
-	s.c.log.Info("stream resumed", "step", "resume", "target", a.place.Target().ID, "last", s.last)
-	s.attach(a)
+	next.placement.Began()
+	s.call.log.Info("stream resumed", "step", "resume", "target", next.placement.Target().ID, "last", s.lastID)
+	s.attach(next)
 	return true
 }
 
 // Close implements api.ForwardAnswer. It cancels a stream that has not ended.
-func (s *streamAnswer) Close() error {
+func (s *streamResponse) Close() error {
 	if s.err == nil {
 		s.err = errors.New("closed")
-		s.events.Release()
-		s.c.log.Info("stream cancelled", "step", "stream", "target", s.a.place.Target().ID, "events", s.count)
-		s.a.end(api.WorkCancelled, false)
+		s.reader.Release()
+		s.call.log.Info("stream cancelled", "step", "stream", "target", s.attempt.placement.Target().ID, "events", s.delivered)
+		s.attempt.end(api.WorkCancelled, false)
 	}
 	return nil
 }
