--- a/plugin/admin/admin_test.go
+++ b/plugin/admin/admin_test.go
@@ -105,7 +105,7 @@
 	return r.Response.StatusCode(), r.Response.Body()
 }
 
-// Guards against an instance that claims to be ready while it must not serve.
+// Guards against an instance that reports ready while it must not serve callers.
 func TestReady(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -127,8 +127,8 @@
 	}
 }
 
-// Guards against a revision reported in force while an instance that may still
-// dispatch has not seen it.
+// Guards against a revision reported as in force while an instance that may still
+// dispatch has an older one.
 func TestInForce(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -136,9 +136,9 @@
 		seen    uint64
 		want    bool
 	}{
-		{"peer has it", true, 7, true},
+		{"peer has the revision", true, 7, true},
 		{"peer is behind", true, 6, false},
-		{"peer's lease has run out", false, 6, true},
+		{"peer's lease has expired", false, 6, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// Guards against bad input that passes, or that is answered without step and message.
+// Guards against invalid input that is accepted, or refused without step and message.
 func TestBadInput(t *testing.T) {
 	cases := []struct {
 		method, path, body string
@@ -184,7 +184,7 @@
 	}
 }
 
-// Guards against a lost control log that is reported as a success.
+// Guards against success reported for a change while the control log is unavailable.
 func TestControlUnavailable(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
@@ -195,8 +195,8 @@
 	is.Equal(status, 503)
 }
 
-// Guards against a time line out of causal order or silent about an instance
-// that did not answer or dropped events.
+// Guards against a time line out of causal order, or one that doesn't list instances that
+// did not respond or dropped events.
 func TestTimelineMerge(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
@@ -206,20 +206,20 @@
 	}}
 	f.admin.kernel.Events.Record(kernel.Event{Kind: "third", Target: "m1"})
 	_, body := f.call("GET", "/v1/events", "")
-	var line adminapi.Timeline
-	is.NoErr(json.Unmarshal(body, &line))
+	var timeline adminapi.Timeline
+	is.NoErr(json.Unmarshal(body, &timeline))
 	var kinds []string
-	for _, e := range line.Events {
+	for _, e := range timeline.Events {
 		kinds = append(kinds, e.Kind)
 	}
 	is.Equal(kinds, []string{"first", "second", "third"})
-	is.Equal(line.Missing, []string{"c"})
-	is.Equal(line.Dropped["b"], uint64(4))
-	is.Equal(len(f.admin.local(adminapi.Filter{Target: "m2"}).Events), 0)
-	is.Equal(len(f.admin.local(adminapi.Filter{Target: "m1"}).Events), 1)
+	is.Equal(timeline.Missing, []string{"c"})
+	is.Equal(timeline.Dropped["b"], uint64(4))
+	is.Equal(len(f.admin.localEvents(adminapi.Filter{Target: "m2"}).Events), 0)
+	is.Equal(len(f.admin.localEvents(adminapi.Filter{Target: "m1"}).Events), 1)
 }
 
-// Guards against a status that hides an unreachable peer or a pool's owner.
+// Guards against a status without the owner of a pool or the reachability of a peer.
 func TestStatus(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t).admin.status()
--- a/plugin/admin/http.go
+++ b/plugin/admin/http.go
@@ -16,10 +16,11 @@
 	"nutmegrouter/internal/api"
 )
 
-// callLimit bounds the time an operator's call may wait for the control log. It
-// is longer than the 11 s in which a change must be in force under a fault.
-const callLimit = 15 * time.Second
+// controlTimeout bounds the wait of an operator's call for the control log. It is longer
+// than the 11 s within which a change must be in force under a fault.
+const controlTimeout = 15 * time.Second
 
+// handle serves one request of the admin interface.
 func (a *Admin) handle(r *fasthttp.RequestCtx) {
 	switch path := string(r.Path()); path {
 	case adminapi.PathLive:
@@ -31,9 +32,9 @@
 		a.kernel.Metrics.WritePrometheus(r)
 		metrics.WriteProcessMetrics(r)
 	case adminapi.PathStatus:
-		reply(r, a.status())
+		writeJSON(r, a.status())
 	case adminapi.PathView:
-		reply(r, a.publicView())
+		writeJSON(r, a.publicView())
 	case adminapi.PathHistory:
 		a.serveHistory(r)
 	case adminapi.PathChanges:
@@ -47,29 +48,29 @@
 			pprofhandler.PprofHandler(r)
 			return
 		}
-		fail(r, fasthttp.StatusNotFound, "route", "no such path "+strconv.Quote(path))
+		writeError(r, fasthttp.StatusNotFound, "route", "no such path "+strconv.Quote(path))
 	}
 }
 
-// publicView returns the view without the operators' document, which holds keys.
+// publicView returns the view without the operators' document, which contains API keys.
 func (a *Admin) publicView() *api.View {
 	v := *a.fleet.View()
 	v.Document = nil
 	return &v
 }
 
-// withControl reports whether this instance reaches the control log, and answers
-// the call otherwise.
-func (a *Admin) withControl(r *fasthttp.RequestCtx) bool {
+// requireControl reports whether this instance has access to the control log; if not, it
+// responds with 404.
+func (a *Admin) requireControl(r *fasthttp.RequestCtx) bool {
 	if a.control == nil {
-		fail(r, fasthttp.StatusNotFound, "control", "this instance takes no orders; ask a control instance")
+		writeError(r, fasthttp.StatusNotFound, "control", "this instance takes no orders; ask a control instance")
 	}
 	return a.control != nil
 }
 
 func (a *Admin) serveReady(r *fasthttp.RequestCtx) {
-	if ok, why := a.ready(); !ok {
-		fail(r, fasthttp.StatusServiceUnavailable, "ready", why)
+	if ok, reason := a.ready(); !ok {
+		writeError(r, fasthttp.StatusServiceUnavailable, "ready", reason)
 		return
 	}
 	r.SetBodyString("ready\n")
@@ -114,59 +115,64 @@
 	return out
 }
 
+// serveHistory responds with the newest accepted changes; limit is 1 to 1000, default 20.
 func (a *Admin) serveHistory(r *fasthttp.RequestCtx) {
-	if !a.withControl(r) {
+	if !a.requireControl(r) {
 		return
 	}
-	limit, err := intArg(r, "limit", 20)
+	limit, err := queryInt(r, "limit", 20)
 	if err != nil || limit < 1 || limit > 1000 {
-		fail(r, fasthttp.StatusBadRequest, "history", "limit wants a number from 1 to 1000")
+		writeError(r, fasthttp.StatusBadRequest, "history", "limit wants a number from 1 to 1000")
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	list, err := a.control.History(ctx, int(limit))
 	if err != nil {
-		fail(r, fasthttp.StatusServiceUnavailable, "history", err.Error())
+		writeError(r, fasthttp.StatusServiceUnavailable, "history", err.Error())
 		return
 	}
 	if list == nil {
 		list = []api.HistoryEntry{}
 	}
-	reply(r, list)
+	writeJSON(r, list)
 }
 
+// serveChange submits a posted change to the control log and responds with the result.
 func (a *Admin) serveChange(r *fasthttp.RequestCtx) {
-	if !a.withControl(r) {
+	if !a.requireControl(r) {
 		return
 	}
 	if !r.IsPost() {
-		fail(r, fasthttp.StatusMethodNotAllowed, "change", "want POST")
+		writeError(r, fasthttp.StatusMethodNotAllowed, "change", "want POST")
 		return
 	}
 	var s api.Submission
 	if err := json.Unmarshal(r.PostBody(), &s); err != nil {
-		fail(r, fasthttp.StatusBadRequest, "change", "malformed change: "+err.Error())
+		writeError(r, fasthttp.StatusBadRequest, "change", "malformed change: "+err.Error())
 		return
 	}
 	if s.ChangeID == "" || (s.Config == nil) == (s.DataCentre == "") {
-		fail(r, fasthttp.StatusBadRequest, "change", "want a change_id and either config or data_centre")
+		writeError(r, fasthttp.StatusBadRequest, "change", "want a change_id and either config or data_centre")
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	res, err := a.control.Submit(ctx, s)
 	if err != nil {
-		fail(r, fasthttp.StatusServiceUnavailable, "change", err.Error())
+		writeError(r, fasthttp.StatusServiceUnavailable, "change", err.Error())
 		return
 	}
-	reply(r, res)
+	writeJSON(r, res)
 }
 
+// serveInForce responds whether a revision is in force, and lists the instances that it
+// waits for: this one, and peers that may hold a lease. Without leases (profile "routes")
+// only this instance is considered.
 func (a *Admin) serveInForce(r *fasthttp.RequestCtx) {
-	revision, err := intArg(r, "revision", 0)
+	revision, err := queryInt(r, "revision", 0)
 	if err != nil || revision < 1 {
-		fail(r, fasthttp.StatusBadRequest, "in force", "revision wants a number from 1")
+		writeError(r, fasthttp.StatusBadRequest, "in force", "revision wants a number from 1")
 		return
 	}
 	out := adminapi.InForce{Revision: uint64(revision)}
@@ -179,10 +185,11 @@
 		}
 	}
 	out.InForce = len(out.Waiting) == 0
-	reply(r, out)
+	writeJSON(r, out)
 }
 
-func intArg(r *fasthttp.RequestCtx, name string, fallback int64) (int64, error) {
+// queryInt parses a query argument as a decimal integer; fallback is used if it is absent.
+func queryInt(r *fasthttp.RequestCtx, name string, fallback int64) (int64, error) {
 	raw := string(r.QueryArgs().Peek(name))
 	if raw == "" {
 		return fallback, nil
@@ -190,17 +197,19 @@
 	return strconv.ParseInt(raw, 10, 64)
 }
 
-func reply(r *fasthttp.RequestCtx, v any) {
+// writeJSON responds with a value encoded as JSON.
+func writeJSON(r *fasthttp.RequestCtx, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		fail(r, fasthttp.StatusInternalServerError, "encode", err.Error())
+		writeError(r, fasthttp.StatusInternalServerError, "encode", err.Error())
 		return
 	}
 	r.SetContentType("application/json")
 	r.SetBody(append(raw, '\n'))
 }
 
-func fail(r *fasthttp.RequestCtx, status int, step, message string) {
+// writeError responds with a status and an adminapi.Error.
+func writeError(r *fasthttp.RequestCtx, status int, step, message string) {
 	raw, _ := json.Marshal(adminapi.Error{Step: step, Message: message})
 	r.SetStatusCode(status)
 	r.SetContentType("application/json")
--- a/plugin/admin/setup.go
+++ b/plugin/admin/setup.go
@@ -1,5 +1,6 @@
-// Package admin serves the HTTP interface for operators (package adminapi) and
-// merges the time lines of all instances.
+// Package admin serves the HTTP admin interface defined by package adminapi: health,
+// metrics, status, configuration changes, and the event time line merged over all
+// instances.
 package admin
 
 import (
@@ -25,7 +26,7 @@
 	})
 }
 
-// Bounds on the operators' connections.
+// Timeouts of the operators' connections.
 const (
 	readTimeout  = 10 * time.Second
 	writeTimeout = 30 * time.Second
@@ -37,14 +38,15 @@
 	mesh    api.Mesh
 	lease   api.Lease // nil with the profile "routes"
 	fleet   api.Fleet
-	control api.Control // nil on instances that take no orders
+	control api.Control // nil on entry instances of the profile "routes"
 
 	listener net.Listener
 	server   *fasthttp.Server
 	draining atomic.Bool
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It listens on the admin address of the settings, and
+// fails if it cannot or if a needed interface is missing.
 func (a *Admin) Provision(c *kernel.Context) error {
 	a.kernel = c
 	if err := a.lookup(c); err != nil {
@@ -73,6 +75,7 @@
 	return nil
 }
 
+// lookup resolves the interfaces that the profile and the role of this instance provide.
 func (a *Admin) lookup(c *kernel.Context) (err error) {
 	if a.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
@@ -91,19 +94,20 @@
 	return err
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It serves the listener made by Provision.
 func (a *Admin) Start(d *kernel.Duties) error {
 	d.Serve("admin", a.listener, a.server.Serve)
 	return nil
 }
 
-// Drain turns /ready false at once, so that the balancer sends no new callers.
+// Drain makes /ready respond with 503 from now on, so that the load balancer sends no new
+// callers. It returns at once and never fails.
 func (a *Admin) Drain(context.Context) error {
 	a.draining.Store(true)
 	return nil
 }
 
-// ready tells whether callers should be sent here, and why not.
+// ready reports whether callers may be sent to this instance, and the reason if not.
 func (a *Admin) ready() (bool, string) {
 	switch {
 	case a.draining.Load():
--- a/plugin/admin/timeline.go
+++ b/plugin/admin/timeline.go
@@ -15,23 +15,25 @@
 )
 
 const (
-	// methodEvents reads the events of a peer.
+	// methodEvents is the RPC method that reads the events of a peer.
 	methodEvents = "events.read"
-	// eventsLimit bounds the wait for a peer's events. A peer that is slower
-	// is reported as missing. It is shorter than the client's wait for an answer.
-	eventsLimit = time.Second
+	// eventsTimeout bounds the wait for the events of peers. A slower peer is reported as
+	// missing. It is shorter than the timeout of the admin client.
+	eventsTimeout = time.Second
 )
 
-// handleEvents answers a peer that merges the time line.
+// handleEvents returns the matching local events to a peer that merges the time line.
 func (a *Admin) handleEvents(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var f adminapi.Filter
 	if err := json.Unmarshal(params, &f); err != nil {
 		return nil, errors.Wrap(err, "read filter")
 	}
-	return a.local(f), nil
+	return a.localEvents(f), nil
 }
 
-func (a *Admin) local(f adminapi.Filter) adminapi.InstanceEvents {
+// localEvents returns the events of this instance that match a filter, and how many were
+// overwritten.
+func (a *Admin) localEvents(f adminapi.Filter) adminapi.InstanceEvents {
 	all, dropped := a.kernel.Events.Read()
 	out := adminapi.InstanceEvents{
 		Instance: a.kernel.Settings.Instance, Events: []kernel.Event{}, Dropped: dropped,
@@ -44,6 +46,7 @@
 	return out
 }
 
+// serveEvents responds with the time line of all instances, filtered by the query arguments.
 func (a *Admin) serveEvents(r *fasthttp.RequestCtx) {
 	f := adminapi.Filter{
 		Kind:      string(r.QueryArgs().Peek("kind")),
@@ -52,21 +55,21 @@
 		Request:   string(r.QueryArgs().Peek("request")),
 	}
 	var errSince, errUntil error
-	f.SinceMs, errSince = intArg(r, "since_ms", 0)
-	f.UntilMs, errUntil = intArg(r, "until_ms", 0)
+	f.SinceMs, errSince = queryInt(r, "since_ms", 0)
+	f.UntilMs, errUntil = queryInt(r, "until_ms", 0)
 	if errSince != nil || errUntil != nil {
-		fail(r, fasthttp.StatusBadRequest, "events", "since_ms and until_ms want Unix milliseconds")
+		writeError(r, fasthttp.StatusBadRequest, "events", "since_ms and until_ms want Unix milliseconds")
 		return
 	}
-	reply(r, a.merge(f))
+	writeJSON(r, a.collectTimeline(f))
 }
 
-// merge asks all instances at once and sorts by hybrid logical clock; a stamp
-// never precedes a stamp its instance had received before.
-func (a *Admin) merge(f adminapi.Filter) adminapi.Timeline {
-	ctx, cancel := context.WithTimeout(context.Background(), eventsLimit)
+// collectTimeline reads the events of all instances in parallel and merges them. Peers
+// that fail or exceed eventsTimeout are listed as missing.
+func (a *Admin) collectTimeline(f adminapi.Filter) adminapi.Timeline {
+	ctx, cancel := context.WithTimeout(context.Background(), eventsTimeout)
 	defer cancel()
-	parts := []adminapi.InstanceEvents{a.local(f)}
+	parts := []adminapi.InstanceEvents{a.localEvents(f)}
 	var missing []string
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -85,10 +88,13 @@
 	}
 	wg.Wait()
 	sort.Strings(missing)
-	return mergeParts(parts, missing)
+	return mergeTimeline(parts, missing)
 }
 
-func mergeParts(parts []adminapi.InstanceEvents, missing []string) adminapi.Timeline {
+// mergeTimeline merges the events of several instances in the order of their hybrid logical
+// clock stamps, then by instance. The order is causal: a stamp is greater than any stamp
+// that its instance had received before.
+func mergeTimeline(parts []adminapi.InstanceEvents, missing []string) adminapi.Timeline {
 	out := adminapi.Timeline{Events: []kernel.Event{}, Missing: missing, Dropped: map[string]uint64{}}
 	for _, p := range parts {
 		out.Events = append(out.Events, p.Events...)
--- a/plugin/directory/directory_test.go
+++ b/plugin/directory/directory_test.go
@@ -23,31 +23,30 @@
 	"nutmegrouter/platform"
 )
 
-// platformList is a list of targets in pages, of one each by default, that refuses calls
-// beyond a rate.
-type platformList struct {
-	mu      sync.Mutex
-	targets int
-	size    int           // targets of a page
-	gap     time.Duration // least time between two calls
-	last    time.Time
-	calls   int
-	refused int
+// fakePlatform serves a list of targets in pages and refuses calls above a rate.
+type fakePlatform struct {
+	mu              sync.Mutex
+	targets         int
+	pageSize        int           // targets per page; 0 = 1
+	minCallInterval time.Duration // calls that follow sooner get status 429
+	lastCallAt      time.Time
+	calls           int
+	refused         int
 }
 
-func (l *platformList) handle(ctx *fasthttp.RequestCtx) {
+func (l *fakePlatform) handle(ctx *fasthttp.RequestCtx) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	if time.Since(l.last) < l.gap {
+	if time.Since(l.lastCallAt) < l.minCallInterval {
 		l.refused++
 		ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
 		return
 	}
-	l.last = time.Now()
+	l.lastCallAt = time.Now()
 	n := 0
 	fmt.Sscanf(string(ctx.QueryArgs().Peek("page_token")), "p%d", &n)
-	end := min(n+max(1, l.size), l.targets)
+	end := min(n+max(1, l.pageSize), l.targets)
 	next := "null"
 	if end < l.targets {
 		next = fmt.Sprintf(`"p%d"`, end)
@@ -59,7 +58,7 @@
 	fmt.Fprintf(ctx, `{"instances":[%s],"next":%s}`, strings.Join(entries, ","), next)
 }
 
-func (l *platformList) start(t *testing.T) string {
+func (l *fakePlatform) start(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -69,58 +68,59 @@
 	return ln.Addr().String()
 }
 
-// fleetOf is a control leader with linked peers that take notifications.
-type fleetOf struct {
+// fakeCluster is the cluster as seen by a control leader; it counts the notifications to
+// each peer and keeps the last one.
+type fakeCluster struct {
 	api.Mesh
 	api.Control
-	peers []string
-	mu    sync.Mutex
-	told  map[string]int
-	last  any
-	role  string
-	watch func(api.ControlStatus)
+	peers         []string
+	mu            sync.Mutex
+	notifications map[string]int
+	lastParams    any
+	role          string
+	onStatus      func(api.ControlStatus)
 }
 
-func (f *fleetOf) Peers() []string            { return f.peers }
-func (f *fleetOf) Handle(string, api.Handler) {}
-func (f *fleetOf) Status() api.ControlStatus {
+func (f *fakeCluster) Peers() []string            { return f.peers }
+func (f *fakeCluster) Handle(string, api.Handler) {}
+func (f *fakeCluster) Status() api.ControlStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return api.ControlStatus{Role: f.role, Term: 3}
 }
-func (f *fleetOf) OnStatus(w func(api.ControlStatus)) { f.watch = w }
-func (f *fleetOf) setRole(role string) {
+func (f *fakeCluster) OnStatus(w func(api.ControlStatus)) { f.onStatus = w }
+func (f *fakeCluster) setRole(role string) {
 	f.mu.Lock()
 	f.role = role
 	f.mu.Unlock()
-	f.watch(f.Status())
+	f.onStatus(f.Status())
 }
-func (f *fleetOf) Dial([]string)                 {}
-func (f *fleetOf) OnLink(func(api.LinkChange))   {}
-func (f *fleetOf) Controls() []string            { return []string{"c"} }
-func (f *fleetOf) Leader() (string, uint64)      { return "c", 3 }
-func (f *fleetOf) Entries() int                  { return len(f.peers) }
-func (f *fleetOf) OnLeader(func(string, uint64)) {}
-func (f *fleetOf) Notify(to, method string, params any) error {
+func (f *fakeCluster) Dial([]string)                 {}
+func (f *fakeCluster) OnLink(func(api.LinkChange))   {}
+func (f *fakeCluster) Controls() []string            { return []string{"c"} }
+func (f *fakeCluster) Leader() (string, uint64)      { return "c", 3 }
+func (f *fakeCluster) Entries() int                  { return len(f.peers) }
+func (f *fakeCluster) OnLeader(func(string, uint64)) {}
+func (f *fakeCluster) Notify(to, method string, params any) error {
 	return f.NotifyAll([]string{to}, method, params)
 }
-func (f *fleetOf) NotifyAll(to []string, _ string, params any) error {
+func (f *fakeCluster) NotifyAll(to []string, _ string, params any) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, peer := range to {
-		f.told[peer]++
+		f.notifications[peer]++
 	}
-	f.last = params
+	f.lastParams = params
 	return nil
 }
 
-func newDirectory(t *testing.T, address string, rate float64) (*Directory, *fleetOf) {
+func newDirectory(t *testing.T, address string, rate float64) (*Directory, *fakeCluster) {
 	t.Helper()
 	is := is.New(t)
 	s := &settings.Settings{Profile: settings.ProfileRoutes, Instance: "c"}
 	s.Routes.Directory = settings.Directory{Address: address, CallsPerSecond: rate}
 	k := kernel.NewContext(s, slog.New(slog.NewTextHandler(io.Discard, nil)), kernel.NewClock())
-	f := &fleetOf{peers: []string{"e1", "e2"}, told: map[string]int{}, role: "leader"}
+	f := &fakeCluster{peers: []string{"e1", "e2"}, notifications: map[string]int{}, role: "leader"}
 	is.NoErr((&platform.Dialect{}).Provision(k))
 	is.NoErr(kernel.Provide[api.Mesh](k, f))
 	is.NoErr(kernel.Provide[api.Topology](k, f))
@@ -138,11 +138,11 @@
 	return d, f
 }
 
-// Guards against a list of many pages that is never read to its end, because calls
-// beyond the platform's rate are refused and the read begins anew.
-func TestReadsKeepToTheRate(t *testing.T) {
+// Guards against a list of many pages that is never read completely, because calls above
+// the platform's rate limit are refused and the read restarts.
+func TestReadsStayBelowCallRate(t *testing.T) {
 	is := is.New(t)
-	list := &platformList{targets: 6, gap: 90 * time.Millisecond}
+	list := &fakePlatform{targets: 6, minCallInterval: 90 * time.Millisecond}
 	d, f := newDirectory(t, list.start(t), 10)
 	for begin := time.Now(); !d.Known() || len(d.Targets()) < 6; time.Sleep(10 * time.Millisecond) {
 		is.True(time.Since(begin) < 5*time.Second)
@@ -150,37 +150,37 @@
 	list.mu.Lock()
 	is.Equal(list.refused, 0)
 	list.mu.Unlock()
-	told := func() bool { // after the list is known here
+	allNotified := func() bool { // peers are notified after the list is published
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.told["e1"] > 0 && f.told["e2"] > 0
+		return f.notifications["e1"] > 0 && f.notifications["e2"] > 0
 	}
-	for begin := time.Now(); !told(); time.Sleep(time.Millisecond) {
+	for begin := time.Now(); !allNotified(); time.Sleep(time.Millisecond) {
 		is.True(time.Since(begin) < 5*time.Second)
 	}
 }
 
-// Guards against a list with a page missing that makes its targets look gone.
-func TestFailedReadKeepsTheList(t *testing.T) {
+// Guards against a failed read of a page that removes targets from the list.
+func TestFailedReadKeepsList(t *testing.T) {
 	is := is.New(t)
-	list := &platformList{targets: 3}
+	list := &fakePlatform{targets: 3}
 	d, _ := newDirectory(t, list.start(t), 0)
 	for begin := time.Now(); len(d.Targets()) < 3; time.Sleep(10 * time.Millisecond) {
 		is.True(time.Since(begin) < 5*time.Second)
 	}
 	list.mu.Lock()
-	list.gap = time.Hour // from now on each call is refused
+	list.minCallInterval = time.Hour // refuses all further calls
 	list.mu.Unlock()
 	time.Sleep(2 * readInterval)
 	is.Equal(len(d.Targets()), 3)
-	is.True(d.failures.Get() > 0)
+	is.True(d.readFailures.Get() > 0)
 }
 
-// Guards against a new leader that reads the list only at its next interval, while no
-// instance knows any target.
+// Guards against a new leader that reads the list only at the next interval: until then
+// no instance may have a list.
 func TestNewLeaderReadsAtOnce(t *testing.T) {
 	is := is.New(t)
-	list := &platformList{targets: 2}
+	list := &fakePlatform{targets: 2}
 	d, f := newDirectory(t, list.start(t), 0)
 	f.setRole("follower")
 	time.Sleep(2*readInterval + readInterval/4) // between two intervals
@@ -193,45 +193,46 @@
 	}
 }
 
-// asker is the mesh of an entry instance that reaches one control instance.
-type asker struct {
+// fakeMesh is the mesh of an entry instance; it passes calls to the fetch handler of one
+// control instance.
+type fakeMesh struct {
 	api.Mesh
-	control *Directory
-	calls   atomic.Int32
-	bytes   atomic.Int32 // of the answers
-	slow    time.Duration
+	control       *Directory
+	calls         atomic.Int32
+	responseBytes atomic.Int32 // total size of the responses
+	delay         time.Duration
 }
 
-func (a *asker) Call(ctx context.Context, _, _ string, params, result any) error {
+func (a *fakeMesh) Call(ctx context.Context, _, _ string, params, result any) error {
 	a.calls.Add(1)
-	time.Sleep(a.slow)
+	time.Sleep(a.delay)
 	raw, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	got, err := a.control.handleFetch(ctx, "e", raw)
+	response, err := a.control.handleFetch(ctx, "e", raw)
 	if err != nil {
 		return err
 	}
-	if raw, err = json.Marshal(got); err != nil {
+	if raw, err = json.Marshal(response); err != nil {
 		return err
 	}
-	a.bytes.Add(int32(len(raw)))
+	a.responseBytes.Add(int32(len(raw)))
 	return json.Unmarshal(raw, result)
 }
 
-// Guards against a leader that sends the whole list to every instance on every new link:
-// with 300 instances and 3,000 targets its processor and its links were full of lists,
-// links were cut for their silence, and no instance was served.
+// Guards against a leader that sends the whole list on every new link. With 300 instances
+// and 3,000 targets the lists saturated its CPU and its links, silent links were closed,
+// and no instance was served.
 func TestLargeListIsPacked(t *testing.T) {
 	is := is.New(t)
 	const targets = 300
-	list := &platformList{targets: targets, size: 50}
+	list := &fakePlatform{targets: targets, pageSize: 50}
 	leader, f := newDirectory(t, list.start(t), 100_000)
-	sent := func() any {
+	lastSent := func() any {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.last
+		return f.lastParams
 	}
 	await := func(what string, ok func() bool) {
 		t.Helper()
@@ -241,12 +242,12 @@
 			}
 		}
 	}
-	await("sent", func() bool { return sent() != nil })
-	first := sent().([]byte)
+	await("sent", func() bool { return lastSent() != nil })
+	first := lastSent().([]byte)
 	is.True(len(first) < 30*targets)
-	a := &asker{control: leader, slow: 20 * time.Millisecond}
+	a := &fakeMesh{control: leader, delay: 20 * time.Millisecond}
 	entry := &Directory{kernel: leader.kernel, mesh: a, log: leader.log}
-	tell := func(u targetlist.Update) {
+	deliver := func(u targetlist.Update) {
 		raw, err := json.Marshal(u)
 		is.NoErr(err)
 		_, err = entry.handleUpdate(context.Background(), "c", raw)
@@ -263,22 +264,22 @@
 	is.NoErr(err)
 	is.Equal(entry.Targets(), leader.Targets())
 
-	// A new link tells the position; nothing is fetched.
-	tell(targetlist.Update{At: at(), Base: at()})
-	time.Sleep(2 * a.slow)
+	// The position sent over a new link is the local one: nothing is fetched.
+	deliver(targetlist.Update{At: at(), Base: at()})
+	time.Sleep(2 * a.delay)
 	is.Equal(a.calls.Load(), int32(0))
 
-	// Targets come while the link is down. Many messages lead to one fetch of the changes.
-	before := at()
+	// Targets are added while the link is down. Many updates lead to one fetch of the changes.
+	previous := at()
 	list.mu.Lock()
 	list.targets += 20
 	list.mu.Unlock()
-	await("read", func() bool { return at() != before })
+	await("read", func() bool { return at() != previous })
 	for range 10 {
-		tell(targetlist.Update{At: at(), Base: at()})
+		deliver(targetlist.Update{At: at(), Base: at()})
 	}
 	await("fetched", func() bool { return len(entry.Targets()) == targets+20 })
 	is.Equal(a.calls.Load(), int32(1))
-	is.True(a.bytes.Load() < 20*60) // the list has ten times as much
+	is.True(a.responseBytes.Load() < 20*60) // the whole list is about ten times as large
 	is.Equal(entry.Targets(), leader.Targets())
 }
--- a/plugin/directory/read.go
+++ b/plugin/directory/read.go
@@ -14,64 +14,66 @@
 )
 
 const (
-	// readInterval separates two reads of the list. With the list's own lag it
-	// must stay well below the time after which a leaving target gets nothing new.
+	// readInterval separates two reads of the list. Together with the lag of the
+	// platform's list it must stay well below the time by which a leaving target must
+	// receive no new requests.
 	readInterval = 400 * time.Millisecond
-	// readLimit bounds one page.
-	readLimit = 800 * time.Millisecond
-	// rateShare is the part of the calls a second that the platform allows which is
-	// used: a new leader and the one before it may both read for a moment.
-	rateShare = 0.8
-	// maxPages bounds a list whose pages refer to each other.
+	// pageTimeout bounds the read of one page.
+	pageTimeout = 800 * time.Millisecond
+	// callRateFraction is the fraction of the platform's rate limit (calls per second) that
+	// a leader uses, because a new and a former leader may both read for a moment.
+	callRateFraction = 0.8
+	// maxPages ends the read of a list whose page tokens form a cycle.
 	maxPages = 1000
-	// shareInterval is how often an unchanged list is announced, so that an
-	// instance that missed an update fetches it.
-	shareInterval = time.Second
+	// notifyInterval is how often the position of an unchanged list is announced, so that
+	// an instance that missed an update detects it and fetches the changes.
+	notifyInterval = time.Second
 )
 
-// Bounds of what is sent to other instances.
+// Bounds of updates and fetches between instances.
 const (
-	// plainMost is the largest number of changes that are sent as they are.
-	plainMost = 4
-	// answerFresh is how long the packed answer to a fetch is used again.
-	answerFresh = 200 * time.Millisecond
-	// fetchLimit bounds a fetch. Hundreds of instances may fetch at the same moment.
-	fetchLimit = 2 * time.Second
+	// maxPlainChanges is the largest number of changes that are sent uncompressed.
+	maxPlainChanges = 4
+	// fetchResponseTTL is how long a packed response to a fetch is reused.
+	fetchResponseTTL = 200 * time.Millisecond
+	// fetchTimeout bounds a fetch. Hundreds of instances may fetch at the same moment.
+	fetchTimeout = 2 * time.Second
 )
 
-// Methods between instances.
+// RPC methods between instances.
 const (
 	updateMethod = "directory.update"
 	packedMethod = "directory.packed"
 	fetchMethod  = "directory.list"
 )
 
-// read takes the list from the platform if this instance leads.
-func (d *Directory) read(ctx context.Context) {
-	term, ok := d.leads()
+// readPlatformList reads the list from the platform if this instance is the leader,
+// publishes it, and sends the changes to the peers. A failed read keeps the former list.
+func (d *Directory) readPlatformList(ctx context.Context) {
+	term, ok := d.leaderTerm()
 	if !ok {
 		return
 	}
 	d.reads.Inc()
-	entries, err := d.pages(ctx)
+	entries, err := d.readPages(ctx)
 	if err != nil {
-		d.failures.Inc()
+		d.readFailures.Inc()
 		logqueue.Notice(d.log, "list of targets not read", "step", "directory", "age_ms", d.age().Milliseconds(), "error", err)
 		return
 	}
 	now := d.kernel.Clock.Now()
-	d.readAt.Store(int64(now))
+	d.refreshedAt.Store(int64(now))
 	d.mu.Lock()
-	before := d.list.At()
+	previous := d.list.At()
 	u := d.list.Read(term, entries, now)
-	changed := u.At != before
+	changed := u.At != previous
 	var listeners []func()
 	if changed || !d.Known() {
 		listeners = d.publish()
 	}
-	share := changed || now-d.sharedAt >= shareInterval
-	if share {
-		d.sharedAt = now
+	notify := changed || now-d.notifiedAt >= notifyInterval
+	if notify {
+		d.notifiedAt = now
 	}
 	d.mu.Unlock()
 	for _, f := range listeners {
@@ -80,53 +82,55 @@
 	if changed {
 		d.logChange(u, "platform")
 	}
-	if share {
-		d.share(u)
+	if notify {
+		d.notifyPeers(u)
 	}
 }
 
-// pages reads all pages of the list. A list with a missing page is not used: its
-// targets would look gone.
-func (d *Directory) pages(ctx context.Context) ([]api.DirectoryEntry, error) {
+// readPages reads all pages of the list. It returns an error if any page cannot be read:
+// the targets of a missing page would look removed.
+func (d *Directory) readPages(ctx context.Context) ([]api.DirectoryEntry, error) {
 	var out []api.DirectoryEntry
 	token := ""
 	for range maxPages {
-		if err := d.pace(ctx); err != nil {
+		if err := d.waitForCallRate(ctx); err != nil {
 			return nil, err
 		}
-		p, err := d.page(ctx, token)
+		p, err := d.readPage(ctx, token)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, p.Entries...)
-		d.unreadable.Add(p.Unreadable)
+		d.unreadableEntries.Add(p.Unreadable)
 		if p.Next == "" {
 			return out, nil
 		}
 		token = p.Next
 	}
-	return nil, errors.Errorf("directory: more than %d pages", maxPages)
+	return nil, errors.Errorf("directory: list has more than %d pages", maxPages)
 }
 
-// pace waits until a further call keeps to the rate that the platform allows. A list
-// of many pages is otherwise never read to its end: calls beyond the rate are refused.
-func (d *Directory) pace(ctx context.Context) error {
-	var gap time.Duration
+// waitForCallRate waits until a further call stays below callRateFraction of the
+// platform's rate limit. Calls above the limit are refused, so a list of many pages could
+// otherwise never be read completely. It returns an error if the context ends first.
+func (d *Directory) waitForCallRate(ctx context.Context) error {
+	var interval time.Duration
 	if rate := d.kernel.Settings.Routes.Directory.CallsPerSecond; rate > 0 {
-		gap = time.Duration(float64(time.Second) / (rateShare * rate))
+		interval = time.Duration(float64(time.Second) / (callRateFraction * rate))
 	}
-	if wait := d.calledAt + gap - d.kernel.Clock.Now(); wait > 0 && d.calledAt > 0 {
+	if delay := d.lastCallAt + interval - d.kernel.Clock.Now(); delay > 0 && d.lastCallAt > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
 	}
-	d.calledAt = d.kernel.Clock.Now()
+	d.lastCallAt = d.kernel.Clock.Now()
 	return nil
 }
 
-func (d *Directory) page(ctx context.Context, token string) (api.DirectoryPage, error) {
+// readPage reads the page of a token; "" = the first page.
+func (d *Directory) readPage(ctx context.Context, token string) (api.DirectoryPage, error) {
 	if ctx.Err() != nil {
 		return api.DirectoryPage{}, ctx.Err()
 	}
@@ -134,22 +138,22 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + d.client.Addr + d.dialect.DirectoryPath(token))
-	if err := d.client.DoTimeout(req, resp, readLimit); err != nil {
+	if err := d.client.DoTimeout(req, resp, pageTimeout); err != nil {
 		return api.DirectoryPage{}, errors.WithMessage(err, "directory: read page from "+d.client.Addr)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return api.DirectoryPage{}, errors.Errorf("directory: %s answered %d", d.client.Addr, resp.StatusCode())
+		return api.DirectoryPage{}, errors.Errorf("directory: %s responded with status %d", d.client.Addr, resp.StatusCode())
 	}
 	return d.dialect.DirectoryPage(resp.Body())
 }
 
-// share tells all linked instances of an update. One without changes tells them that
-// theirs is the newest; one with many is packed.
-func (d *Directory) share(u targetlist.Update) {
+// notifyPeers sends an update to all linked instances, compressed if it has more than
+// maxPlainChanges changes. An update without changes carries the current position only.
+func (d *Directory) notifyPeers(u targetlist.Update) {
 	peers := d.mesh.Peers()
-	d.updates.Add(len(peers))
+	d.updatesSent.Add(len(peers))
 	var err error
-	if len(u.Entries)+len(u.Gone) > plainMost {
+	if len(u.Entries)+len(u.Gone) > maxPlainChanges {
 		var packed []byte
 		if packed, err = pack(u); err == nil {
 			err = d.mesh.NotifyAll(peers, packedMethod, packed)
@@ -158,16 +162,17 @@
 		err = d.mesh.NotifyAll(peers, updateMethod, u)
 	}
 	if err != nil {
-		d.log.Error("update not sent", "step", "directory", "error", err)
+		d.log.Error("target list update not sent", "step", "directory", "error", err)
 	}
 }
 
-// pack compresses an update: a target takes some 25 bytes instead of 120.
+// pack encodes and compresses an update: about 25 bytes per target instead of 120.
 func pack(u targetlist.Update) ([]byte, error) {
 	raw, err := json.Marshal(u)
 	return api.PackDocument(raw), err
 }
 
+// unpack reverses pack.
 func unpack(packed []byte) (u targetlist.Update, err error) {
 	raw, err := api.UnpackDocument(packed)
 	if err != nil {
@@ -176,8 +181,9 @@
 	return u, json.Unmarshal(raw, &u)
 }
 
-// linkChanged tells an instance on a new link where the list is. It fetches the list if
-// its own is older: links are lost under load, and whole lists would add to it.
+// linkChanged sends the position of the list over a new link. The peer fetches the
+// changes if its own list is older. The list itself is not sent: links are lost under
+// load, and whole lists would add to the load.
 func (d *Directory) linkChanged(c api.LinkChange) {
 	if !c.Up || d.control == nil || !d.Known() {
 		return
@@ -185,21 +191,23 @@
 	d.mu.Lock()
 	at := d.list.At()
 	d.mu.Unlock()
-	d.updates.Inc()
+	d.updatesSent.Inc()
 	if err := d.mesh.Notify(c.Peer, updateMethod, targetlist.Update{At: at, Base: at}); err != nil {
-		d.log.Debug("update not sent", "step", "directory", "peer", c.Peer, "error", err) // the next one tells
+		d.log.Debug("target list update not sent", "step", "directory", "peer", c.Peer, "error", err) // the next update has the position
 	}
 }
 
+// handleUpdate applies an uncompressed update from a peer.
 func (d *Directory) handleUpdate(ctx context.Context, from string, params json.RawMessage) (any, error) {
 	var u targetlist.Update
 	if err := json.Unmarshal(params, &u); err != nil {
 		return nil, errors.WithMessage(err, updateMethod)
 	}
-	d.take(ctx, from, u)
+	d.receiveUpdate(ctx, from, u)
 	return nil, nil
 }
 
+// handlePacked applies a compressed update from a peer.
 func (d *Directory) handlePacked(ctx context.Context, from string, params json.RawMessage) (any, error) {
 	var packed []byte
 	if err := json.Unmarshal(params, &packed); err != nil {
@@ -209,26 +217,29 @@
 	if err != nil {
 		return nil, errors.WithMessage(err, packedMethod)
 	}
-	d.take(ctx, from, u)
+	d.receiveUpdate(ctx, from, u)
 	return nil, nil
 }
 
-// take applies an update, and fetches what is missing before it.
-func (d *Directory) take(ctx context.Context, from string, u targetlist.Update) {
-	if missing := d.apply(u, from); missing && d.fetching.CompareAndSwap(false, true) {
+// receiveUpdate applies an update from a peer. If earlier updates are missing, it fetches
+// the changes from that peer in the background.
+func (d *Directory) receiveUpdate(ctx context.Context, from string, u targetlist.Update) {
+	if missing := d.applyUpdate(u, from); missing && d.fetching.CompareAndSwap(false, true) {
 		go func() {
 			defer d.fetching.Store(false)
-			d.fetch(ctx, from)
+			d.fetchMissing(ctx, from)
 		}()
 	}
 }
 
-func (d *Directory) apply(u targetlist.Update, from string) (missing bool) {
+// applyUpdate applies an update from a peer, publishes the list and notifies the listeners if
+// it changed. It reports whether earlier updates are missing; the update is then not applied.
+func (d *Directory) applyUpdate(u targetlist.Update, from string) (missing bool) {
 	now := d.kernel.Clock.Now()
 	d.mu.Lock()
 	changed, missing := d.list.Apply(u, now)
 	if d.list.At() == u.At {
-		d.readAt.Store(int64(now))
+		d.refreshedAt.Store(int64(now))
 	}
 	var listeners []func()
 	if changed {
@@ -244,19 +255,20 @@
 	return missing
 }
 
-// fetch takes what has changed from an instance that has a newer list.
-func (d *Directory) fetch(ctx context.Context, from string) {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+// fetchMissing fetches the changes since the local position from a peer and applies them.
+func (d *Directory) fetchMissing(ctx context.Context, from string) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	u, err := d.ask(ctx, from)
+	u, err := d.requestUpdate(ctx, from)
 	if err != nil {
 		logqueue.Notice(d.log, "list of targets not fetched", "step", "directory", "peer", from, "error", err)
 		return
 	}
-	d.apply(u, from)
+	d.applyUpdate(u, from)
 }
 
-func (d *Directory) ask(ctx context.Context, from string) (u targetlist.Update, err error) {
+// requestUpdate requests the changes since the local position from a peer.
+func (d *Directory) requestUpdate(ctx context.Context, from string) (u targetlist.Update, err error) {
 	d.mu.Lock()
 	known := d.list.At()
 	d.mu.Unlock()
@@ -267,30 +279,30 @@
 	return unpack(packed)
 }
 
-// answer is a part of the list as it is sent.
-type answer struct {
-	from, at targetlist.Position
-	made     time.Duration
-	packed   []byte
+// fetchResponse is a packed update with the changes from position since to position at.
+type fetchResponse struct {
+	since, at targetlist.Position
+	createdAt time.Duration
+	packed    []byte
 }
 
-// handleFetch answers with the changes since a position. Many instances ask at the same
-// moment, so an answer is used again for a while; by so much the end of a cold start may
-// be told late.
+// handleFetch returns the packed changes since a position. Many instances fetch at the
+// same moment, so a response is reused for fetchResponseTTL. Cold starts are sent as
+// remaining times, so their end may be reported late by as much.
 func (d *Directory) handleFetch(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var from targetlist.Position
-	if err := json.Unmarshal(params, &from); err != nil {
+	var since targetlist.Position
+	if err := json.Unmarshal(params, &since); err != nil {
 		return nil, errors.WithMessage(err, fetchMethod)
 	}
 	now := d.kernel.Clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if a := &d.newest; a.packed == nil || a.from != from || a.at != d.list.At() || now-a.made > answerFresh {
-		packed, err := pack(d.list.Since(from, now))
+	if a := &d.cachedResponse; a.packed == nil || a.since != since || a.at != d.list.At() || now-a.createdAt > fetchResponseTTL {
+		packed, err := pack(d.list.Since(since, now))
 		if err != nil {
 			return nil, errors.WithMessage(err, fetchMethod)
 		}
-		*a = answer{from: from, at: d.list.At(), made: now, packed: packed}
+		*a = fetchResponse{since: since, at: d.list.At(), createdAt: now, packed: packed}
 	}
-	return d.newest.packed, nil
+	return d.cachedResponse.packed, nil
 }
--- a/plugin/directory/setup.go
+++ b/plugin/directory/setup.go
@@ -1,5 +1,5 @@
-// Package directory reads the platform's list of targets on the control leader
-// and carries it to all instances. It provides api.Directory.
+// Package directory polls the platform's list of targets on the control leader and
+// replicates it to all instances. It provides api.Directory.
 package directory
 
 import (
@@ -26,7 +26,7 @@
 	})
 }
 
-// Directory implements api.Directory. It must be provisioned before use.
+// Directory is the plug-in; it implements api.Directory. It must be provisioned before use.
 type Directory struct {
 	kernel   *kernel.Context
 	mesh     api.Mesh
@@ -36,29 +36,30 @@
 	log      *slog.Logger
 	client   *fasthttp.HostClient
 
-	mu        sync.Mutex
-	list      targetlist.List
-	newest    answer        // the newest one to a fetch
-	sharedAt  time.Duration // time of the last update sent to all
-	listeners []func()
-	led       chan struct{} // signalled when this instance begins to lead
-	calledAt  time.Duration // time of the last call to the platform; owned by the duty
+	mu             sync.Mutex
+	list           targetlist.List
+	cachedResponse fetchResponse // the latest response to a fetch, reused for fetchResponseTTL
+	notifiedAt     time.Duration // time of the last update sent to all peers
+	listeners      []func()
+	becameLeader   chan struct{} // signalled on each status change while this instance is the leader
+	lastCallAt     time.Duration // time of the last call to the platform; used by the reading duty only
 
-	fetching atomic.Bool // one fetch at a time
+	fetching atomic.Bool // set while a fetch runs; at most one runs at a time
 
-	targets atomic.Pointer[published]
-	readAt  atomic.Int64 // time of the last answer of the platform or news of it
+	current     atomic.Pointer[snapshot]
+	refreshedAt atomic.Int64 // kernel clock when the list was last known to be current: read, or confirmed by an update
 
-	reads, failures, unreadable, updates *metrics.Counter
+	reads, readFailures, unreadableEntries, updatesSent *metrics.Counter
 }
 
-// published is the list that other plug-ins see.
-type published struct {
+// snapshot is an immutable copy of the list for readers without the lock.
+type snapshot struct {
 	list []api.Target
 	byID map[string]int // index in list
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It registers the message handlers and provides
+// api.Directory. It fails if the mesh, the topology, the dialect or the roster is missing.
 func (d *Directory) Provision(c *kernel.Context) (err error) {
 	if d.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
@@ -73,15 +74,15 @@
 	if err != nil {
 		return err
 	}
-	d.kernel, d.log, d.led = c, c.Log.With("plugin", "directory"), make(chan struct{}, 1)
+	d.kernel, d.log, d.becameLeader = c, c.Log.With("plugin", "directory"), make(chan struct{}, 1)
 	d.client = &fasthttp.HostClient{
 		Addr: c.Settings.Routes.Directory.Address, MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }, NoDefaultUserAgentHeader: true,
 	}
 	d.reads = c.Metrics.NewCounter("nutmeg_directory_reads_total")
-	d.failures = c.Metrics.NewCounter("nutmeg_directory_read_failures_total")
-	d.unreadable = c.Metrics.NewCounter("nutmeg_directory_unreadable_entries_total")
-	d.updates = c.Metrics.NewCounter("nutmeg_directory_updates_total")
+	d.readFailures = c.Metrics.NewCounter("nutmeg_directory_read_failures_total")
+	d.unreadableEntries = c.Metrics.NewCounter("nutmeg_directory_unreadable_entries_total")
+	d.updatesSent = c.Metrics.NewCounter("nutmeg_directory_updates_total")
 	c.Metrics.NewGauge("nutmeg_directory_targets", func() float64 { return float64(len(d.Targets())) })
 	c.Metrics.NewGauge("nutmeg_directory_age_seconds", func() float64 { return d.age().Seconds() })
 	d.mesh.Handle(updateMethod, d.handleUpdate)
@@ -91,35 +92,36 @@
 	return kernel.Provide[api.Directory](c, d)
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. On control instances it starts the duty that reads the
+// platform's list while this instance is the leader.
 func (d *Directory) Start(duties *kernel.Duties) error {
 	control, err := kernel.Lookup[api.Control](d.kernel)
 	if err != nil {
-		return nil // an entry instance only listens
+		return nil // an entry instance only receives updates
 	}
 	d.control = control
 	control.OnStatus(func(s api.ControlStatus) {
 		if s.Role == "leader" {
-			kernel.Signal(d.led)
+			kernel.Signal(d.becameLeader)
 		}
 	})
-	// A new leader reads at once: after a loss of power no instance knows any target
-	// until then.
-	duties.EveryOr("directory read", readInterval, d.led, d.read)
+	// A new leader reads at once: after a power failure of the whole fleet no instance
+	// has a list until then.
+	duties.EveryOr("directory read", readInterval, d.becameLeader, d.readPlatformList)
 	return nil
 }
 
-// Targets implements api.Directory.
+// Targets implements api.Directory. It returns nil if no list was received yet.
 func (d *Directory) Targets() []api.Target {
-	if p := d.targets.Load(); p != nil {
+	if p := d.current.Load(); p != nil {
 		return p.list
 	}
 	return nil
 }
 
-// Target implements api.Directory.
+// Target implements api.Directory. It returns false if the target is not in the list.
 func (d *Directory) Target(id string) (api.Target, bool) {
-	p := d.targets.Load()
+	p := d.current.Load()
 	if p == nil {
 		return api.Target{}, false
 	}
@@ -130,33 +132,39 @@
 	return p.list[i], true
 }
 
-// Known implements api.Directory.
-func (d *Directory) Known() bool { return d.targets.Load() != nil }
+// Known implements api.Directory. It reports whether a list was read or received.
+func (d *Directory) Known() bool { return d.current.Load() != nil }
 
-// OnChange implements api.Directory.
+// OnChange implements api.Directory. The function is called without the lock held.
 func (d *Directory) OnChange(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listeners = append(d.listeners, f)
 }
 
-func (d *Directory) age() time.Duration { return d.kernel.Clock.Now() - time.Duration(d.readAt.Load()) }
+// age returns the time since the list was last known to be current.
+func (d *Directory) age() time.Duration {
+	return d.kernel.Clock.Now() - time.Duration(d.refreshedAt.Load())
+}
 
-// publish makes the list visible and tells the listeners. The lock must be held.
+// publish replaces the snapshot by the current list and returns the listeners, which the
+// caller must call after it has released the lock. The lock must be held.
 func (d *Directory) publish() []func() {
-	p := &published{list: d.list.Targets(), byID: map[string]int{}}
+	p := &snapshot{list: d.list.Targets(), byID: map[string]int{}}
 	for i := range p.list {
 		p.byID[p.list[i].ID] = i
 	}
-	d.targets.Store(p)
+	d.current.Store(p)
 	return append([]func(){}, d.listeners...)
 }
 
-// loggedMost is the largest number of changes that get a line each.
-const loggedMost = 64
+// maxLoggedChanges is the largest number of changes that are logged one by one; more are
+// logged as one line.
+const maxLoggedChanges = 64
 
+// logChange logs the changes of an update and its source, a peer or "platform".
 func (d *Directory) logChange(u targetlist.Update, from string) {
-	if len(u.Entries)+len(u.Gone) > loggedMost {
+	if len(u.Entries)+len(u.Gone) > maxLoggedChanges {
 		logqueue.Notice(d.log, "targets known", "step", "directory", "targets", len(u.Entries), "gone", len(u.Gone), "whole", u.Whole,
 			"epoch", u.At.Epoch, "seq", u.At.Seq, "from", from)
 		return
@@ -170,8 +178,9 @@
 	}
 }
 
-// leads reports whether this instance is the control leader.
-func (d *Directory) leads() (term uint64, ok bool) {
+// leaderTerm returns the current term; ok is false unless this instance is the control
+// leader. It must be called on control instances only.
+func (d *Directory) leaderTerm() (term uint64, ok bool) {
 	s := d.control.Status()
 	return s.Term, s.Role == "leader"
 }
--- a/plugin/fleet/setup.go
+++ b/plugin/fleet/setup.go
@@ -1,5 +1,5 @@
-// Package fleet holds the newest committed view of the configuration on this
-// instance and tells other plug-ins when it changes. It provides api.Fleet.
+// Package fleet stores the newest committed view of the configuration on this instance,
+// in memory only, and notifies other plug-ins of changes. It provides api.Fleet.
 package fleet
 
 import (
@@ -19,7 +19,8 @@
 	})
 }
 
-// Holder implements api.Fleet. The zero value holds revision 0.
+// Holder is the plug-in; it implements api.Fleet and is safe for concurrent use. The zero
+// value has an empty view of revision 0.
 type Holder struct {
 	view   atomic.Pointer[api.View]
 	events *kernel.Events
@@ -28,14 +29,14 @@
 	listeners []func(*api.View)
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It provides api.Fleet.
 func (h *Holder) Provision(c *kernel.Context) error {
 	h.events = c.Events
 	c.Metrics.NewGauge("nutmeg_view_revision", func() float64 { return float64(h.View().Revision) })
 	return kernel.Provide[api.Fleet](c, h)
 }
 
-// View implements api.Fleet.
+// View implements api.Fleet. It returns an empty view of revision 0 before the first Install.
 func (h *Holder) View() *api.View {
 	if v := h.view.Load(); v != nil {
 		return v
@@ -43,8 +44,9 @@
 	return &api.View{}
 }
 
-// Install implements api.Fleet. Views are installed in order of revision, so a
-// reader never sees an older one after a newer one.
+// Install implements api.Fleet. It ignores a view that is not newer than the installed
+// one, so a reader never sees an older view after a newer one, and a view without a
+// configuration. The listeners are called before it returns.
 func (h *Holder) Install(v *api.View) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,7 +62,8 @@
 	}
 }
 
-// OnChange implements api.Fleet.
+// OnChange implements api.Fleet. The function is called with the lock held, so it must not
+// call Install or OnChange.
 func (h *Holder) OnChange(f func(*api.View)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/plugin/members/messages.go
+++ b/plugin/members/messages.go
@@ -14,173 +14,186 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// Methods between instances. The mesh takes replies to beats as the heartbeat of
-// a link.
+// RPC methods between instances. The mesh uses the responses to heartbeats to
+// detect dead links.
 const (
-	beatMethod    = "beat"
-	leaderMethod  = "members.leader"
-	changedMethod = "view.changed"
-	fetchMethod   = "view.fetch"
+	heartbeatMethod   = "beat"
+	leaderMethod      = "members.leader"
+	viewChangedMethod = "view.changed"
+	viewFetchMethod   = "view.fetch"
 )
 
-// beat asks a control instance for what it knows.
-type beat struct {
-	// Known is a checksum of the control instances that the sender knows from
-	// the receiver; 0 = none.
+// heartbeatRequest asks a control instance for the leader, the newest view revision
+// and the membership.
+type heartbeatRequest struct {
+	// Known is the checksum of the list of control instances that the receiver last
+	// sent to this sender; 0 = none.
 	Known uint32 `json:"k,omitempty"`
 }
 
-// beatReply is what a control instance knows. Controls is empty if the sender of
-// the beat knows them.
-type beatReply struct {
-	Leader   string   `json:"l,omitempty"`
-	Term     uint64   `json:"t,omitempty"`
-	Revision uint64   `json:"r,omitempty"`
+// heartbeatResponse is the state of the control cluster as the responder sees it. An
+// entry instance fills in Revision only.
+type heartbeatResponse struct {
+	Leader string `json:"l,omitempty"`
+	Term   uint64 `json:"t,omitempty"`
+	// Revision is the revision of the view in force at the responder.
+	Revision uint64 `json:"r,omitempty"`
+	// Controls lists the control instances, sorted; empty if the requester has this list.
 	Controls []string `json:"c,omitempty"`
-	// Entries is the number of entry instances linked to the sender.
+	// Entries is the number of entry instances linked to the responder.
 	Entries int `json:"n,omitempty"`
 }
 
-// leaderNote tells about a new leader.
-type leaderNote struct {
+// leaderNotification announces a new control leader and its term.
+type leaderNotification struct {
 	Leader string `json:"l"`
 	Term   uint64 `json:"t"`
 }
 
-// changedNote tells that the sender has a newer view.
-type changedNote struct {
+// viewNotification announces the revision of the sender's newest view.
+type viewNotification struct {
 	Revision uint64 `json:"r"`
 }
 
-// fetchRequest asks for a view newer than the known one.
+// fetchRequest asks for a view newer than revision Known; 0 = the requester has none.
 type fetchRequest struct {
 	Known uint64 `json:"known"`
-	// Confirm asks for a view that a majority has confirmed as the newest.
+	// Confirm asks for a view that is at least as new as the newest one confirmed by a
+	// majority of the control instances.
 	Confirm bool `json:"confirm,omitempty"`
 }
 
-// announced is a view that another instance has.
-type announced struct {
+// announcedView is a view revision that a peer has announced.
+type announcedView struct {
 	peer     string
 	revision uint64
 }
 
+// checksum returns the CRC-32 of the names in their order; 0 for no names.
 func checksum(names []string) uint32 { return crc32.ChecksumIEEE([]byte(strings.Join(names, " "))) }
 
-// sendBeats asks all linked control instances, each in its own goroutine, because
-// a silent one must not delay the others.
-func (m *Members) sendBeats(ctx context.Context) {
+// sendHeartbeats sends a heartbeat to each reachable control instance, each in its own
+// goroutine so that an unresponsive one does not delay the others.
+func (m *Members) sendHeartbeats(ctx context.Context) {
 	for _, peer := range m.Controls() {
 		if peer == m.mesh.Self() || !m.mesh.Reachable(peer) {
 			continue
 		}
-		m.beats.Inc()
-		go m.sendBeat(ctx, peer)
+		m.heartbeats.Inc()
+		go m.sendHeartbeat(ctx, peer)
 	}
 }
 
-func (m *Members) sendBeat(ctx context.Context, peer string) {
-	ctx, cancel := context.WithTimeout(ctx, beatLimit)
+// sendHeartbeat sends one heartbeat to a peer and applies the response: the control
+// instances, the leader, the number of entry instances and the newest revision.
+func (m *Members) sendHeartbeat(ctx context.Context, peer string) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	m.mu.Lock()
-	known := checksum(m.reported[peer].controls)
+	knownControls := checksum(m.reports[peer].controls)
 	m.mu.Unlock()
-	var r beatReply
-	if err := m.mesh.Call(ctx, peer, beatMethod, beat{Known: known}, &r); err != nil {
-		m.unanswered.Inc()
+	var r heartbeatResponse
+	if err := m.mesh.Call(ctx, peer, heartbeatMethod, heartbeatRequest{Known: knownControls}, &r); err != nil {
+		m.unansweredHeartbeats.Inc()
 		return
 	}
 	m.mu.Lock()
-	old := m.reported[peer]
-	old.at = m.kernel.Clock.Now()
-	changed := len(r.Controls) > 0 && !slices.Equal(r.Controls, old.controls)
+	report := m.reports[peer]
+	report.receivedAt = m.kernel.Clock.Now()
+	changed := len(r.Controls) > 0 && !slices.Equal(r.Controls, report.controls)
 	if changed {
-		old.controls = r.Controls
+		report.controls = r.Controls
 	}
-	m.reported[peer] = old
+	m.reports[peer] = report
 	m.mu.Unlock()
 	if changed {
-		m.redial()
+		m.dialControls()
 	}
-	m.noteEntries(r.Entries)
-	m.noteLeader(r.Leader, r.Term)
-	m.noteView(peer, r.Revision)
+	m.setEntryCount(r.Entries)
+	m.updateLeader(r.Leader, r.Term)
+	m.queueFetch(peer, r.Revision)
 }
 
-// handleBeat answers with what this control instance knows.
-func (m *Members) handleBeat(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var b beat
-	if err := json.Unmarshal(params, &b); err != nil {
-		return nil, errors.WithMessage(err, beatMethod)
+// handleHeartbeat returns a heartbeatResponse. The list of control instances is left
+// out if the requester has it.
+func (m *Members) handleHeartbeat(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var req heartbeatRequest
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, errors.WithMessage(err, heartbeatMethod)
 	}
-	r := beatReply{Revision: m.fleet.View().Revision}
+	r := heartbeatResponse{Revision: m.fleet.View().Revision}
 	if m.control == nil {
 		return r, nil
 	}
 	s := m.control.Status()
 	r.Leader, r.Term, r.Entries = s.Leader, s.Term, m.Entries()
 	controls := slices.Sorted(slices.Values(s.Members))
-	if checksum(controls) != b.Known {
+	if checksum(controls) != req.Known {
 		r.Controls = controls
 	}
 	return r, nil
 }
 
-// statusChanged tells all linked instances when this one becomes the leader.
+// statusChanged records the leader of the local control replica, and notifies all linked
+// instances if it is this instance.
 func (m *Members) statusChanged(s api.ControlStatus) {
-	m.noteLeader(s.Leader, s.Term)
+	m.updateLeader(s.Leader, s.Term)
 	if s.Role != "leader" {
 		return
 	}
-	if err := m.mesh.NotifyAll(m.mesh.Peers(), leaderMethod, leaderNote{s.Leader, s.Term}); err != nil {
+	if err := m.mesh.NotifyAll(m.mesh.Peers(), leaderMethod, leaderNotification{s.Leader, s.Term}); err != nil {
 		m.log.Error("leader not announced", "step", "leader", "error", err)
 	}
 }
 
+// handleLeader applies a leaderNotification.
 func (m *Members) handleLeader(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var n leaderNote
+	var n leaderNotification
 	if err := json.Unmarshal(params, &n); err != nil {
 		return nil, errors.WithMessage(err, leaderMethod)
 	}
-	m.noteLeader(n.Leader, n.Term)
+	m.updateLeader(n.Leader, n.Term)
 	return nil, nil
 }
 
-// announce tells the linked instances about a view. Control instances have it
-// from the log.
-func (m *Members) announce(revision uint64) {
-	// An instance that misses it learns of the view by its next beat.
-	if err := m.mesh.NotifyAll(m.linkedEntries(), changedMethod, changedNote{revision}); err != nil {
+// announceView notifies the linked entry instances of a new view. Control instances
+// receive views through the control log.
+func (m *Members) announceView(revision uint64) {
+	// An instance that misses the notification gets the revision from its next heartbeat.
+	if err := m.mesh.NotifyAll(m.linkedEntries(), viewChangedMethod, viewNotification{revision}); err != nil {
 		m.log.Error("view not announced", "step", "view", "error", err)
 	}
 }
 
-func (m *Members) handleChanged(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var n changedNote
+// handleViewChanged applies a viewNotification.
+func (m *Members) handleViewChanged(_ context.Context, from string, params json.RawMessage) (any, error) {
+	var n viewNotification
 	if err := json.Unmarshal(params, &n); err != nil {
-		return nil, errors.WithMessage(err, changedMethod)
+		return nil, errors.WithMessage(err, viewChangedMethod)
 	}
-	m.noteView(from, n.Revision)
+	m.queueFetch(from, n.Revision)
 	return nil, nil
 }
 
-// noteView queues a newer view for the fetch. Control instances get views from
-// the log only.
-func (m *Members) noteView(peer string, revision uint64) {
+// queueFetch queues the fetch of an announced view that is newer than the local one.
+// It does nothing on control instances, which receive views through the control log only.
+func (m *Members) queueFetch(peer string, revision uint64) {
 	if m.control == nil && revision > m.fleet.View().Revision {
-		m.behind.Push(announced{peer, revision})
+		m.announcedViews.Push(announcedView{peer, revision})
 	}
 }
 
-// handleFetch answers with the local view, or null if it is not newer.
-func (m *Members) handleFetch(ctx context.Context, _ string, params json.RawMessage) (any, error) {
+// handleViewFetch returns the local view, or null if it is not newer than the
+// requester's. It fails if a confirmed view is requested and this replica cannot confirm
+// or catch up in time.
+func (m *Members) handleViewFetch(ctx context.Context, _ string, params json.RawMessage) (any, error) {
 	var req fetchRequest
 	if err := json.Unmarshal(params, &req); err != nil {
-		return nil, errors.WithMessage(err, fetchMethod)
+		return nil, errors.WithMessage(err, viewFetchMethod)
 	}
 	if req.Confirm && m.control != nil {
-		if err := m.confirm(ctx); err != nil {
-			return nil, errors.WithMessage(err, fetchMethod)
+		if err := m.waitForNewestView(ctx); err != nil {
+			return nil, errors.WithMessage(err, viewFetchMethod)
 		}
 	}
 	if v := m.fleet.View(); v.Revision > req.Known {
@@ -189,24 +202,28 @@
 	return nil, nil
 }
 
-// Bounds of a view that is confirmed.
+// Timing of view fetches that require confirmation.
 const (
-	// confirmLimit bounds the question to the majority and the wait for its newest view.
-	confirmLimit = 400 * time.Millisecond
-	confirmPoll  = 5 * time.Millisecond
-	// sureFor is how long an instance that has just started takes confirmed views only.
-	// Without a majority it then serves with what it can learn.
-	sureFor = 2 * time.Second
-	// fetchPause separates its attempts.
-	fetchPause = 50 * time.Millisecond
+	// confirmTimeout bounds the quorum read and the wait for the local replica to catch up.
+	confirmTimeout      = 400 * time.Millisecond
+	confirmPollInterval = 5 * time.Millisecond
+	// confirmedStartPeriod is how long after its start an instance without a view accepts
+	// confirmed views only. After that it accepts any view, so that it can serve while
+	// there is no majority.
+	confirmedStartPeriod = 2 * time.Second
+	// fetchRetryDelay separates the attempts to fetch the first view.
+	fetchRetryDelay = 50 * time.Millisecond
 )
 
-var errLags = errors.New("the newest view has not arrived here yet")
+// errReplicaBehind is returned when the local replica did not catch up within confirmTimeout.
+var errReplicaBehind = errors.New("the newest view has not arrived here yet")
 
-// confirm returns once the local view is as new as a majority's: the replica here may
-// have an old disk, or be cut off.
-func (m *Members) confirm(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, confirmLimit)
+// waitForNewestView waits until the local view is at least as new as the newest revision
+// confirmed by a majority. The local replica may be outdated because it runs on an old
+// disk or is partitioned. It fails if the quorum read fails, and with errReplicaBehind
+// if the replica has not caught up after confirmTimeout.
+func (m *Members) waitForNewestView(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	newest, err := m.control.ReadRevision(ctx)
 	if err != nil {
@@ -215,20 +232,22 @@
 	for m.fleet.View().Revision < newest {
 		select {
 		case <-ctx.Done():
-			return errLags
-		case <-time.After(confirmPoll):
+			return errReplicaBehind
+		case <-time.After(confirmPollInterval):
 		}
 	}
 	return nil
 }
 
-// fetchLimit bounds the wait for a view; another instance is asked after it.
-const fetchLimit = 600 * time.Millisecond
+// fetchTimeout bounds one fetch of a view; the next announced view, possibly of another
+// peer, is fetched after it.
+const fetchTimeout = 600 * time.Millisecond
 
-// fetchLoop fetches the views that others have announced.
+// fetchLoop fetches announced views that are newer than the local one. While the instance
+// has no view, a failed fetch triggers heartbeats, which announce the view again.
 func (m *Members) fetchLoop(ctx context.Context) error {
 	for {
-		a, err := m.behind.Pop(ctx)
+		a, err := m.announcedViews.Pop(ctx)
 		if err != nil {
 			return err
 		}
@@ -238,25 +257,26 @@
 		if err := m.fetch(ctx, a.peer); err != nil {
 			m.log.Warn("view not fetched", "step", "view", "peer", a.peer, "revision", a.revision, "error", err)
 			if m.fleet.View().Revision == 0 {
-				time.AfterFunc(fetchPause, func() { kernel.Signal(m.kick) })
+				time.AfterFunc(fetchRetryDelay, func() { kernel.Signal(m.heartbeatDue) })
 			}
 		}
 	}
 }
 
+// fetch fetches a newer view from a peer and installs it.
 func (m *Members) fetch(ctx context.Context, peer string) error {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var v *api.View
-	known := m.fleet.View().Revision
-	req := fetchRequest{Known: known, Confirm: known == 0 && m.kernel.Clock.Now() < sureFor}
-	if err := m.mesh.Call(ctx, peer, fetchMethod, req, &v); err != nil {
+	knownRevision := m.fleet.View().Revision
+	req := fetchRequest{Known: knownRevision, Confirm: knownRevision == 0 && m.kernel.Clock.Now() < confirmedStartPeriod}
+	if err := m.mesh.Call(ctx, peer, viewFetchMethod, req, &v); err != nil {
 		return err
 	}
 	if v == nil {
-		return nil // it was announced before this instance got it from another
+		return nil // no newer view: this instance got it from another peer meanwhile
 	}
-	m.fetches.Inc()
+	m.viewFetches.Inc()
 	m.fleet.Install(v)
 	return nil
 }
--- a/plugin/members/setup.go
+++ b/plugin/members/setup.go
@@ -1,5 +1,5 @@
-// Package members finds the control instances of a fleet with the profile
-// "routes", keeps links to them, and carries the committed view to the entry
+// Package members discovers the control instances of a fleet with the profile
+// "routes", maintains links to them, and distributes the committed view to the entry
 // instances. It provides api.Topology.
 package members
 
@@ -28,7 +28,7 @@
 	})
 }
 
-// Members implements api.Topology. It must be provisioned before use.
+// Members is the plug-in; it implements api.Topology. It must be provisioned before use.
 type Members struct {
 	kernel  *kernel.Context
 	mesh    api.Mesh
@@ -40,40 +40,42 @@
 
 	mu        sync.Mutex
 	seeds     []string
-	reported  map[string]report // by the control instance that answered
+	reports   map[string]controlReport // latest report of each control instance, by its name
 	leader    string
 	term      uint64
 	listeners []func(string, uint64)
 
-	entries atomic.Int64 // entry instances, as last told
+	entryCount atomic.Int64 // number of entry instances, from the last heartbeat response that had one
 
-	kick   chan struct{}           // beats are due at once
-	behind *kernel.Ring[announced] // newer views that other instances have
+	heartbeatDue   chan struct{}               // triggers heartbeats at once
+	announcedViews *kernel.Ring[announcedView] // newer views to fetch
 
-	beats, unanswered, fetches *metrics.Counter
+	heartbeats, unansweredHeartbeats, viewFetches *metrics.Counter
 }
 
-// report is what a control instance said of the membership.
-type report struct {
-	at       time.Duration
-	controls []string
+// controlReport is the list of control instances in the heartbeat responses of one of them.
+type controlReport struct {
+	receivedAt time.Duration // kernel clock, of the last response
+	controls   []string
 }
 
-// Bounds of the duties.
+// Timing and bounds of heartbeats and fetches.
 const (
-	// beatInterval separates the heartbeats of a link. Three of them fit into the
+	// heartbeatInterval separates the heartbeats on a link. Three intervals fit into the
 	// silence after which the mesh replaces a link.
-	beatInterval = 500 * time.Millisecond
-	beatLimit    = 1500 * time.Millisecond
-	// reportLife is how long a control instance that one other names is dialled
-	// after the last answer that named it.
-	reportLife = 10 * time.Second
-	// announcements is the number of newer views that wait to be fetched; the
-	// newest is fetched first.
-	announcements = 64
+	heartbeatInterval = 500 * time.Millisecond
+	heartbeatTimeout  = 1500 * time.Millisecond
+	// reportTTL is how long a report counts after the last heartbeat response of the
+	// control instance that sent it. Instances named by no valid report are not dialled,
+	// unless they are seeds.
+	reportTTL = 10 * time.Second
+	// maxAnnouncedViews is the capacity of the ring of announced views. They are fetched
+	// in the order of arrival; a full ring refuses further ones.
+	maxAnnouncedViews = 64
 )
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It registers the message handlers and provides
+// api.Topology. It fails if the mesh, the roster or the fleet is missing.
 func (m *Members) Provision(c *kernel.Context) (err error) {
 	if m.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
@@ -85,26 +87,28 @@
 		return err
 	}
 	m.kernel, m.events, m.log = c, c.Events, c.Log.With("plugin", "members")
-	m.reported, m.kick = map[string]report{}, make(chan struct{}, 1)
-	m.behind = kernel.NewRing[announced](c.Metrics, "members.views", announcements)
-	m.beats = c.Metrics.NewCounter("nutmeg_members_beats_total")
-	m.unanswered = c.Metrics.NewCounter("nutmeg_members_beats_unanswered_total")
-	m.fetches = c.Metrics.NewCounter("nutmeg_members_view_fetches_total")
+	m.reports, m.heartbeatDue = map[string]controlReport{}, make(chan struct{}, 1)
+	m.announcedViews = kernel.NewRing[announcedView](c.Metrics, "members.views", maxAnnouncedViews)
+	m.heartbeats = c.Metrics.NewCounter("nutmeg_members_beats_total")
+	m.unansweredHeartbeats = c.Metrics.NewCounter("nutmeg_members_beats_unanswered_total")
+	m.viewFetches = c.Metrics.NewCounter("nutmeg_members_view_fetches_total")
 	m.setSeeds(c.Settings)
-	m.mesh.Handle(beatMethod, m.handleBeat)
+	m.mesh.Handle(heartbeatMethod, m.handleHeartbeat)
 	m.mesh.Handle(leaderMethod, m.handleLeader)
-	m.mesh.Handle(changedMethod, m.handleChanged)
-	m.mesh.Handle(fetchMethod, m.handleFetch)
+	m.mesh.Handle(viewChangedMethod, m.handleViewChanged)
+	m.mesh.Handle(viewFetchMethod, m.handleViewFetch)
 	m.roster.OnLink(m.linkChanged)
 	return kernel.Provide[api.Topology](c, m)
 }
 
-// Reload implements kernel.Reloader. It follows the seeds.
+// Reload implements kernel.Reloader. It applies changed seeds and sends heartbeats at once.
 func (m *Members) Reload(s *settings.Settings) {
 	m.setSeeds(s)
-	kernel.Signal(m.kick)
+	kernel.Signal(m.heartbeatDue)
 }
 
+// setSeeds replaces the seeds by those of the settings. Seeds without a valid mesh address
+// are skipped.
 func (m *Members) setSeeds(s *settings.Settings) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,28 +123,30 @@
 	}
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It dials the seeds and starts the duties that send
+// heartbeats and fetch views.
 func (m *Members) Start(d *kernel.Duties) error {
 	if control, err := kernel.Lookup[api.Control](m.kernel); err == nil {
 		m.control = control
 		control.OnStatus(m.statusChanged)
-		m.fleet.OnChange(func(v *api.View) { m.announce(v.Revision) })
+		m.fleet.OnChange(func(v *api.View) { m.announceView(v.Revision) })
 	}
-	m.redial()
-	d.EveryOr("members.beat", beatInterval, m.kick, m.beat)
+	m.dialControls()
+	d.EveryOr("members.beat", heartbeatInterval, m.heartbeatDue, m.runHeartbeat)
 	d.Go("members.fetch", m.fetchLoop)
 	return nil
 }
 
-// Controls implements api.Topology: the seeds, and all that an answer of the last
-// seconds named.
+// Controls implements api.Topology. It returns the seeds, the control instances named by
+// reports younger than reportTTL and, on a control instance, the members of the local
+// replica and the instance itself.
 func (m *Members) Controls() []string {
 	now := m.kernel.Clock.Now()
 	m.mu.Lock()
 	out := slices.Clone(m.seeds)
-	for from, r := range m.reported {
-		if now-r.at > reportLife {
-			delete(m.reported, from)
+	for from, r := range m.reports {
+		if now-r.receivedAt > reportTTL {
+			delete(m.reports, from)
 			continue
 		}
 		out = append(out, r.controls...)
@@ -153,22 +159,23 @@
 	return slices.Compact(out)
 }
 
-// Leader implements api.Topology.
+// Leader implements api.Topology. It returns "" and 0 if no leader is known.
 func (m *Members) Leader() (string, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leader, m.term
 }
 
-// OnLeader implements api.Topology.
+// OnLeader implements api.Topology. The function is called with the new leader and its term.
 func (m *Members) OnLeader(f func(string, uint64)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listeners = append(m.listeners, f)
 }
 
-// noteLeader keeps the leader of the highest term.
-func (m *Members) noteLeader(instance string, term uint64) {
+// updateLeader stores a leader of a higher term than the known one and notifies the
+// listeners; others are ignored.
+func (m *Members) updateLeader(instance string, term uint64) {
 	m.mu.Lock()
 	if instance == "" || term <= m.term {
 		m.mu.Unlock()
@@ -184,43 +191,45 @@
 	}
 }
 
-// Entries implements api.Topology. A control instance counts its links; an entry
-// instance takes the newest answer.
+// Entries implements api.Topology. A control instance counts its links to entry
+// instances; an entry instance returns the number in the newest heartbeat response.
 func (m *Members) Entries() int {
 	if m.control == nil {
-		return int(m.entries.Load())
+		return int(m.entryCount.Load())
 	}
 	return len(m.linkedEntries())
 }
 
-// linkedEntries returns the linked instances that hold no control replica.
+// linkedEntries returns the linked instances that are not control instances.
 func (m *Members) linkedEntries() []string {
 	controls := m.Controls()
 	return slices.DeleteFunc(m.mesh.Peers(), func(p string) bool { return slices.Contains(controls, p) })
 }
 
-func (m *Members) noteEntries(n int) {
+// setEntryCount stores the number of entry instances that a peer has reported; 0 = not known.
+func (m *Members) setEntryCount(n int) {
 	if n > 0 {
-		m.entries.Store(int64(n))
+		m.entryCount.Store(int64(n))
 	}
 }
 
-// redial keeps links to all known control instances.
-func (m *Members) redial() {
+// dialControls makes the mesh keep links to exactly the known control instances.
+func (m *Members) dialControls() {
 	self := m.mesh.Self()
 	addresses := slices.DeleteFunc(m.Controls(), func(a string) bool { return a == self })
 	m.roster.Dial(addresses)
 }
 
-// linkChanged sends a beat at once over a new link, which brings the newest view
-// and the leader.
+// linkChanged triggers heartbeats at once after a link to a control instance came up, to
+// get the leader and the newest revision without waiting for the next interval.
 func (m *Members) linkChanged(c api.LinkChange) {
 	if c.Up && c.Control {
-		kernel.Signal(m.kick)
+		kernel.Signal(m.heartbeatDue)
 	}
 }
 
-func (m *Members) beat(ctx context.Context) {
-	m.redial()
-	m.sendBeats(ctx)
+// runHeartbeat updates the dialled addresses and sends a round of heartbeats.
+func (m *Members) runHeartbeat(ctx context.Context) {
+	m.dialControls()
+	m.sendHeartbeats(ctx)
 }
--- a/plugin/operators/setup.go
+++ b/plugin/operators/setup.go
@@ -1,6 +1,7 @@
-// Package operators serves the operators of a fleet with the profile "routes" on
-// its control instances: they replace and read the configuration and take data
-// centres out of service. Any control instance takes a call; the leader decides.
+// Package operators serves the operators' HTTP interface on the control instances of a
+// fleet with the profile "routes": replacing and reading the configuration, and taking
+// data centres out of service and back. Any control instance accepts a call and forwards
+// it to the leader through api.Control.
 package operators
 
 import (
@@ -29,19 +30,20 @@
 	})
 }
 
-// Bounds of calls.
+// Limits of calls.
 const (
 	readTimeout  = 10 * time.Second
 	writeTimeout = 10 * time.Second
-	maxBody      = 64 << 20 // bytes
-	// changeLimit bounds a change of the configuration, stateLimit any other call.
-	// An operator waits about a second and then asks another instance; a call that
-	// took longer could undo a later one.
-	changeLimit = 3 * time.Second
-	stateLimit  = time.Second
+	maxBodyBytes = 64 << 20 // bytes
+	// changeTimeout bounds a change of the configuration, callTimeout any other call.
+	// An operator waits about a second and then sends the call to another instance; a
+	// call that took longer could undo a later one.
+	changeTimeout = 3 * time.Second
+	callTimeout   = time.Second
 )
 
-// Server is the plug-in. It must be provisioned before use.
+// Server is the plug-in. It must be provisioned before use. It listens on the address
+// routes.operators of the settings.
 type Server struct {
 	kernel  *kernel.Context
 	control api.Control
@@ -49,10 +51,10 @@
 	log     *slog.Logger
 	http    *fasthttp.Server
 
-	accepted, refused, unanswered *metrics.Counter
+	accepted, refused, undecided *metrics.Counter
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It fails if the control log or the dialect is missing.
 func (s *Server) Provision(c *kernel.Context) (err error) {
 	if s.control, err = kernel.Lookup[api.Control](c); err != nil {
 		return err
@@ -63,16 +65,16 @@
 	s.kernel, s.log = c, c.Log.With("plugin", "operators")
 	s.accepted = c.Metrics.NewCounter("nutmeg_operators_accepted_total")
 	s.refused = c.Metrics.NewCounter("nutmeg_operators_refused_total")
-	s.unanswered = c.Metrics.NewCounter("nutmeg_operators_unavailable_total")
+	s.undecided = c.Metrics.NewCounter("nutmeg_operators_unavailable_total")
 	s.http = &fasthttp.Server{
 		Handler: s.handle, Name: "nutmegd", ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
-		IdleTimeout: readTimeout, MaxRequestBodySize: maxBody, NoDefaultServerHeader: true,
+		IdleTimeout: readTimeout, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true,
 		SecureErrorLogMessage: true, Logger: logqueue.Discard{},
 	}
 	return nil
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It fails if the operators' address cannot be listened on.
 func (s *Server) Start(d *kernel.Duties) error {
 	ln, err := net.Listen("tcp", s.kernel.Settings.Routes.Operators)
 	if err != nil {
@@ -82,6 +84,7 @@
 	return nil
 }
 
+// handle serves one call. The dialect defines the methods and paths.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	order, ok := s.dialect.Order(string(ctx.Method()), string(ctx.Path()))
 	switch {
@@ -92,59 +95,61 @@
 	case order.Kind == api.OrderReplace:
 		s.replace(ctx)
 	default:
-		s.move(ctx, order)
+		s.setDataCentreOut(ctx, order)
 	}
 }
 
-// replace validates a document, whatever its version, and has it stored.
+// replace validates a configuration document and submits it. The version of the document
+// is not compared with the one in force.
 func (s *Server) replace(ctx *fasthttp.RequestCtx) {
 	body := ctx.PostBody()
-	t, err := s.dialect.Document(body)
+	table, err := s.dialect.Document(body)
 	if err != nil {
 		s.refuse(ctx, fasthttp.StatusBadRequest, err.Error())
 		return
 	}
-	s.submit(ctx, changeLimit, api.Submission{Version: t.Version, Document: api.PackDocument(body)})
+	s.submit(ctx, changeTimeout, api.Submission{Version: table.Version, Document: api.PackDocument(body)})
 }
 
-// move takes a data centre out of service or back.
-func (s *Server) move(ctx *fasthttp.RequestCtx, order api.Order) {
+// setDataCentreOut takes a data centre out of service or puts it back.
+func (s *Server) setDataCentreOut(ctx *fasthttp.RequestCtx, order api.Order) {
 	if !slices.Contains(s.kernel.Settings.Routes.DataCentres, order.DataCentre) {
 		s.refuse(ctx, fasthttp.StatusNotFound, "no such data centre")
 		return
 	}
-	s.submit(ctx, stateLimit, api.Submission{DataCentre: order.DataCentre, Out: order.Kind == api.OrderOut})
+	s.submit(ctx, callTimeout, api.Submission{DataCentre: order.DataCentre, Out: order.Kind == api.OrderOut})
 }
 
-// submit has a change stored. A caller that has left has asked another instance
-// meanwhile, and perhaps given a later order there.
-func (s *Server) submit(ctx *fasthttp.RequestCtx, limit time.Duration, c api.Submission) {
+// submit submits a change to the control log and responds with the result. The change of
+// a disconnected caller is not submitted: the caller may have sent it, and a later one,
+// to another instance meanwhile.
+func (s *Server) submit(ctx *fasthttp.RequestCtx, timeout time.Duration, submission api.Submission) {
 	if !targetconn.Open(ctx.Conn()) {
-		s.unavailable(ctx, errors.New("the caller has left"))
+		s.unavailable(ctx, errors.New("the caller has disconnected"))
 		return
 	}
-	c.ChangeID, c.Newest = kernel.NewID(), true
-	limited, cancel := context.WithTimeout(context.Background(), limit)
+	submission.ChangeID, submission.Newest = kernel.NewID(), true
+	callCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	r, err := s.control.Submit(limited, c)
+	result, err := s.control.Submit(callCtx, submission)
 	switch {
 	case err != nil:
 		s.unavailable(ctx, err)
-	case r.Error != "":
-		s.refuse(ctx, fasthttp.StatusBadRequest, r.Error)
+	case result.Error != "":
+		s.refuse(ctx, fasthttp.StatusBadRequest, result.Error)
 	default:
 		s.accepted.Inc()
-		logqueue.Notice(s.log, "change accepted", "step", "operators", "change", c.ChangeID, "version", c.Version,
-			"data_centre", c.DataCentre, "out", c.Out, "revision", r.Revision)
+		logqueue.Notice(s.log, "change accepted", "step", "operators", "change", submission.ChangeID, "version", submission.Version,
+			"data_centre", submission.DataCentre, "out", submission.Out, "revision", result.Revision)
 		ctx.SetStatusCode(fasthttp.StatusOK)
 	}
 }
 
-// read answers with the newest document, confirmed by the leader's quorum.
+// read responds with the newest configuration document, confirmed by the leader's quorum.
 func (s *Server) read(ctx *fasthttp.RequestCtx) {
-	limited, cancel := context.WithTimeout(context.Background(), stateLimit)
+	callCtx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	v, err := s.control.ReadView(limited)
+	v, err := s.control.ReadView(callCtx)
 	if err == nil && v.Version == 0 {
 		err = errors.New("no configuration yet")
 	}
@@ -160,16 +165,18 @@
 	ctx.SetBody(raw)
 }
 
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, status int, text string) {
+// refuse responds with a client error and its reason.
+func (s *Server) refuse(ctx *fasthttp.RequestCtx, status int, reason string) {
 	s.refused.Inc()
-	logqueue.Notice(s.log, "order refused", "step", "operators", "path", string(ctx.Path()), "status", status, "error", text)
+	logqueue.Notice(s.log, "order refused", "step", "operators", "path", string(ctx.Path()), "status", status, "error", reason)
 	ctx.SetStatusCode(status)
-	ctx.SetBodyString(text + "\n")
+	ctx.SetBodyString(reason + "\n")
 }
 
-// unavailable answers a call that this instance cannot be sure about.
+// unavailable responds with 503 to a call whose outcome is unknown, or to a read that
+// cannot be confirmed. The caller may send it again.
 func (s *Server) unavailable(ctx *fasthttp.RequestCtx, err error) {
-	s.unanswered.Inc()
+	s.undecided.Inc()
 	logqueue.Notice(s.log, "order not decided", "step", "operators", "path", string(ctx.Path()), "error", err)
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	ctx.SetBodyString("not decided, ask again\n")
--- a/plugin/orders/send.go
+++ b/plugin/orders/send.go
@@ -9,41 +9,45 @@
 	planner "nutmegrouter/internal/orders"
 )
 
-// body is an order on the wire, see the target interface in docs/design.md.
-type body struct {
+// orderBody is the JSON body of an order; see the target interface in docs/design.md.
+type orderBody struct {
 	Order   planner.Kind `json:"order"`
 	Model   string       `json:"model"`
 	Version string       `json:"version"`
 	Fence   uint64       `json:"fence"`
 }
 
-// send carries out one order. Engines that ignore the fencing token rely on the
-// ownership being checked right before the order leaves.
-func (o *Orders) send(pool string, own *owned, order planner.Order) {
+// send posts an order to its target in the background. It reports the order to the
+// planner as failed if maxInFlight orders are in flight or the pool is no longer owned in
+// the same epoch. The ownership is checked right before sending, because some engines
+// ignore the fencing token.
+func (o *Orders) send(pool string, state *poolState, order planner.Order) {
 	now := o.kernel.Clock.Now()
 	if o.inFlight >= maxInFlight {
-		own.planner.Done(now, order, planner.Failed)
+		state.planner.Done(now, order, planner.Failed)
 		return
 	}
-	if epoch, holds := o.lease.Holds(pool); !holds || epoch != own.epoch {
-		own.planner.Done(now, order, planner.Failed)
+	if epoch, holds := o.lease.Holds(pool); !holds || epoch != state.epoch {
+		state.planner.Done(now, order, planner.Failed)
 		return
 	}
 	o.inFlight++
 	o.sent.Inc()
-	out := outcome{pool: pool, epoch: own.epoch, order: order}
-	fence := own.token
+	out := outcome{pool: pool, epoch: state.epoch, order: order}
+	fence := state.token
 	go func() {
 		out.verdict = o.post(order, fence)
 		o.outcomes.Push(out)
 	}()
 }
 
+// post sends an order and waits for the response. Status 2xx is Accepted, 409 is Stale;
+// any other status or error is Failed.
 func (o *Orders) post(order planner.Order, fence uint64) planner.Verdict {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	raw, _ := json.Marshal(body{order.Kind, order.Model, order.Version, fence}) // always encodes
+	raw, _ := json.Marshal(orderBody{order.Kind, order.Model, order.Version, fence}) // encoding cannot fail
 	req.SetRequestURI("http://" + order.Target.Address + "/orders")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
@@ -60,29 +64,31 @@
 	return planner.Failed
 }
 
-// finish applies the end of an order or of a request for a token.
-func (o *Orders) finish(out outcome) {
+// handleOutcome applies the result of an order or of a request for a token. Results from
+// a former ownership epoch are dropped.
+func (o *Orders) handleOutcome(out outcome) {
 	isToken := out.token != 0 || out.tokenFailed
 	if !isToken {
 		o.inFlight--
 	}
-	own, ok := o.pools[out.pool]
-	if !ok || own.epoch != out.epoch {
+	state, ok := o.pools[out.pool]
+	if !ok || state.epoch != out.epoch {
 		return
 	}
 	if isToken {
-		own.asking = false
-		if out.token > own.token {
-			own.token = out.token
-			own.planner.Renewed()
+		state.tokenRequested = false
+		if out.token > state.token {
+			state.token = out.token
+			state.planner.Renewed()
 		}
 		return
 	}
-	own.planner.Done(o.kernel.Clock.Now(), out.order, out.verdict)
-	o.count(out, own.token)
+	state.planner.Done(o.kernel.Clock.Now(), out.order, out.verdict)
+	o.recordOutcome(out, state.token)
 }
 
-func (o *Orders) count(out outcome, token uint64) {
+// recordOutcome counts a failed or refused order and records an event for every order.
+func (o *Orders) recordOutcome(out outcome, token uint64) {
 	event := kernel.Event{
 		Kind: "order", Step: string(out.order.Kind), Pool: out.pool, Target: out.order.Target.Name, Epoch: token,
 	}
--- a/plugin/orders/setup.go
+++ b/plugin/orders/setup.go
@@ -1,5 +1,6 @@
-// Package orders sends load and warm orders to the engines of the pools that
-// this instance owns. The decisions are in internal/orders.
+// Package orders sends load and warm orders to the engines of the pools that this
+// instance owns. Package internal/orders plans them; this plug-in obtains fencing
+// tokens, sends the orders over HTTP and reports their outcomes to the planner.
 package orders
 
 import (
@@ -26,15 +27,16 @@
 // Timing and bounds of the plug-in.
 const (
 	planInterval = 500 * time.Millisecond
-	// orderTimeout bounds the answer to one order. Engines answer when they
-	// have accepted it, not when it is carried out.
+	// orderTimeout bounds one order. Engines respond when they have accepted an order,
+	// not when they have carried it out.
 	orderTimeout = 5 * time.Second
 	tokenTimeout = 5 * time.Second
-	// maxInFlight bounds the orders sent at the same time.
+	// maxInFlight bounds the orders without a response, over all pools.
 	maxInFlight = 64
 )
 
-// Orders is the plug-in. The zero value is ready for Provision.
+// Orders is the plug-in. The zero value is ready for Provision. The duty alone uses pools
+// and inFlight; requests run in goroutines of their own and return an outcome.
 type Orders struct {
 	kernel  *kernel.Context
 	lease   api.Lease
@@ -43,37 +45,38 @@
 	states  api.TargetStates
 	client  fasthttp.Client
 
-	pools    map[string]*owned
+	pools    map[string]*poolState
 	outcomes *kernel.Ring[outcome]
-	inFlight int
+	inFlight int // orders without a response
 	sent     *metrics.Counter
 	failed   *metrics.Counter
 	stale    *metrics.Counter
 }
 
-// owned is the state of one pool while this instance owns it.
-type owned struct {
-	epoch   uint64 // ownership epoch
-	token   uint64 // fencing token, 0 until obtained
-	asking  bool
-	planner *planner.Planner
+// poolState is the state of one pool while this instance owns it.
+type poolState struct {
+	epoch          uint64 // ownership epoch
+	token          uint64 // fencing token, 0 until obtained
+	tokenRequested bool   // a request for a token is in flight
+	planner        *planner.Planner
 }
 
-// outcome is the end of an order, or of a request for a token if token is not 0
-// or tokenFailed is set.
+// outcome is the result of an order, or of a request for a fencing token if token is not
+// 0 or tokenFailed is set.
 type outcome struct {
 	pool        string
-	epoch       uint64
+	epoch       uint64 // ownership epoch at the time of sending
 	order       planner.Order
 	verdict     planner.Verdict
 	token       uint64
 	tokenFailed bool
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It fails if the lease, the fleet, the control log or
+// the target states are missing.
 func (o *Orders) Provision(c *kernel.Context) (err error) {
 	o.kernel = c
-	o.pools = map[string]*owned{}
+	o.pools = map[string]*poolState{}
 	o.outcomes = kernel.NewRing[outcome](c.Metrics, "orders", 2*maxInFlight)
 	o.sent = c.Metrics.NewCounter("nutmeg_orders_sent_total")
 	o.failed = c.Metrics.NewCounter("nutmeg_orders_failed_total")
@@ -92,81 +95,87 @@
 	return err
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It starts the duty that plans and sends orders.
 func (o *Orders) Start(d *kernel.Duties) error {
 	d.Go("orders", o.run)
 	return nil
 }
 
+// run plans orders each planInterval and handles their outcomes until the context ends.
 func (o *Orders) run(ctx context.Context) error {
-	tick := time.NewTicker(planInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(planInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case out := <-o.outcomes.C():
-			o.finish(out)
-		case <-tick.C:
+			o.handleOutcome(out)
+		case <-ticker.C:
 			o.plan(ctx)
 		}
 	}
 }
 
-// plan goes over the engine pools that this instance owns.
+// plan sends the orders that are due in the engine pools that this instance owns, and
+// requests a fencing token for pools that have none or an outdated one. It drops the state
+// of the configured pools that are not owned here.
 func (o *Orders) plan(ctx context.Context) {
 	view := o.fleet.View()
 	if view.Config == nil {
 		return
 	}
-	returning := o.returning(view.Config, time.Now())
+	returning := o.returningDataCentres(view.Config, time.Now())
 	for _, pool := range view.Config.Pools {
 		epoch, holds := o.lease.Holds(pool.Name)
 		if !holds || pool.Kind != fleetconfig.KindEngine {
 			delete(o.pools, pool.Name)
 			continue
 		}
-		own := o.own(pool, epoch, view.Config.LoadInterval())
-		if own.token == 0 || own.planner.Stale() {
-			o.askToken(ctx, pool.Name, own)
+		state := o.stateFor(pool, epoch, view.Config.LoadInterval())
+		if state.token == 0 || state.planner.Stale() {
+			o.requestToken(ctx, pool.Name, state)
 			continue
 		}
-		for _, order := range own.planner.Plan(o.kernel.Clock.Now(), o.states.States(pool.Name), returning) {
-			o.send(pool.Name, own, order)
+		for _, order := range state.planner.Plan(o.kernel.Clock.Now(), o.states.States(pool.Name), returning) {
+			o.send(pool.Name, state, order)
 		}
 	}
 }
 
-func (o *Orders) own(pool fleetconfig.Pool, epoch uint64, interval time.Duration) *owned {
-	own, ok := o.pools[pool.Name]
-	if !ok || own.epoch != epoch {
-		own = &owned{epoch: epoch, planner: planner.NewPlanner(pool, interval, o.kernel.Clock.Now())}
-		o.pools[pool.Name] = own
+// stateFor returns the state of an owned pool with its current configuration. It starts
+// with a new state in each ownership epoch.
+func (o *Orders) stateFor(pool fleetconfig.Pool, epoch uint64, interval time.Duration) *poolState {
+	state, ok := o.pools[pool.Name]
+	if !ok || state.epoch != epoch {
+		state = &poolState{epoch: epoch, planner: planner.NewPlanner(pool, interval, o.kernel.Clock.Now())}
+		o.pools[pool.Name] = state
 	}
-	own.planner.Configure(pool, interval)
-	return own
+	state.planner.Configure(pool, interval)
+	return state
 }
 
-// returning names the data centres with a planned return within ReturnLead.
-func (o *Orders) returning(cfg *fleetconfig.Config, now time.Time) map[string]bool {
+// returningDataCentres returns the data centres whose planned return is at most
+// planner.ReturnLead after now.
+func (o *Orders) returningDataCentres(cfg *fleetconfig.Config, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, m := range cfg.Moves {
-		back, err := time.Parse(time.RFC3339, m.BackAt)
-		if err == nil && now.Before(back) && back.Sub(now) <= planner.ReturnLead {
+		returnAt, err := time.Parse(time.RFC3339, m.BackAt)
+		if err == nil && now.Before(returnAt) && returnAt.Sub(now) <= planner.ReturnLead {
 			out[m.DataCentre] = true
 		}
 	}
 	return out
 }
 
-// askToken obtains a fencing token from the control log without blocking the
-// duty. Orders wait meanwhile.
-func (o *Orders) askToken(ctx context.Context, pool string, own *owned) {
-	if own.asking {
+// requestToken requests a fencing token from the control log in the background. No order
+// is sent to the pool until the token has arrived.
+func (o *Orders) requestToken(ctx context.Context, pool string, state *poolState) {
+	if state.tokenRequested {
 		return
 	}
-	own.asking = true
-	epoch := own.epoch
+	state.tokenRequested = true
+	epoch := state.epoch
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 		defer cancel()
