--- a/cmd/nutmegbench/demo.go
+++ b/cmd/nutmegbench/demo.go
@@ -13,54 +13,55 @@
 	"nutmegrouter/internal/loadgen"
 )
 
-// Times of the demonstration, counted from the start of the load.
+// Parameters of the demonstration. Times count from the start of the load.
 const (
-	demoLoad    = 30 * time.Second
-	demoOutAt   = 8 * time.Second
-	demoBackAt  = 18 * time.Second
-	demoRate    = 250 // requests per second
-	demoDC      = "dc-b"
-	demoLimit   = 58 * time.Second // of the whole demonstration
-	startLimit  = 20 * time.Second
-	outBound    = 3 * time.Second // R4: no new work later than this after acceptance
-	showEvery   = 2 * time.Second
-	spaceSkew   = 0.8
-	entrySkew   = 0.5
-	demoSpaces  = 16
-	demoRouters = 7
+	demoLoadTime     = 30 * time.Second
+	demoOutAt        = 8 * time.Second
+	demoBackAt       = 18 * time.Second
+	demoRate         = 250 // requests per second
+	demoDataCentre   = "dc-b"
+	demoTimeout      = 58 * time.Second // of the whole demonstration, including the start of the fleet
+	startTimeout     = 20 * time.Second
+	maxOutDelay      = 3 * time.Second // R4: time from acceptance after which a data centre that is out gets no new work
+	progressInterval = 2 * time.Second
+	workspaceSkew    = 0.8 // exponent for loadgen.Skewed
+	entrySkew        = 0.5 // exponent for loadgen.Skewed
+	demoWorkspaces   = 16
+	demoInstances    = 7
 )
 
-// move records when a data centre left and came back.
-type move struct {
-	outAccepted, backAsked time.Time
-	err                    error
+// dataCentreMove records when a data centre was taken out of service and brought back.
+type dataCentreMove struct {
+	outAccepted, backRequested time.Time
+	err                        error
 }
 
-// demo runs a fleet under mixed load and takes a data centre out and back.
+// demo runs a fleet under mixed load, takes a data centre out of service and back, and
+// returns the exit code.
 func demo(ctx context.Context, o options) int {
-	ctx, cancel := context.WithTimeout(ctx, demoLimit)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	f, err := startFleet(ctx, fleetrun.Options{Dir: filepath.Join(o.dir, "demo"), Bin: o.bin, Instances: demoRouters, Workspaces: demoSpaces})
+	f, err := startFleet(ctx, fleetrun.Options{Dir: filepath.Join(o.dir, "demo"), Bin: o.bin, Instances: demoInstances, Workspaces: demoWorkspaces})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
 		return exitFleet
 	}
 	defer f.Close()
-	r := loadgen.New(plan(f, o.seed, demoRate, demoLoad))
-	m := make(chan move, 1)
-	go func() { m <- moveDC(ctx, f, r, demoDC, demoOutAt, demoBackAt) }()
+	r := loadgen.New(newPlan(f, o.seed, demoRate, demoLoadTime))
+	m := make(chan dataCentreMove, 1)
+	go func() { m <- moveDataCentre(ctx, f, r, demoDataCentre, demoOutAt, demoBackAt) }()
 	stop := showProgress(r)
 	r.Do(ctx)
 	stop()
-	return judge(ctx, f, r, <-m)
+	return evaluate(ctx, f, r, <-m)
 }
 
-// startFleet clears the folder and brings a fleet up.
+// startFleet deletes the fleet's folder, starts the fleet and waits until it is ready.
 func startFleet(ctx context.Context, opt fleetrun.Options) (*fleetrun.Fleet, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := os.RemoveAll(opt.Dir); err != nil {
-		return nil, errors.Wrap(err, "clear folder")
+		return nil, errors.Wrap(err, "delete folder")
 	}
 	begin := time.Now()
 	f, err := fleetrun.New(opt)
@@ -76,48 +77,52 @@
 	return f, nil
 }
 
-// plan is the standard mix for a fleet.
-func plan(f *fleetrun.Fleet, seed uint64, rate float64, length time.Duration) *loadgen.Plan {
+// newPlan returns a plan with the standard mix of requests. rate is in requests per
+// second. A few workspaces and entry instances receive most of the requests.
+func newPlan(f *fleetrun.Fleet, seed uint64, rate float64, length time.Duration) *loadgen.Plan {
 	p := &loadgen.Plan{Seed: seed, Rate: rate, Duration: length,
 		Kinds: loadgen.StandardKinds(fleetrun.EnginePool, fleetrun.Model, fleetrun.ServicePool)}
 	p.Entries, p.Ready = f.Entries()
 	p.EntryShares = loadgen.Skewed(len(p.Entries), entrySkew)
-	shares := loadgen.Skewed(len(f.Workspaces), spaceSkew)
+	shares := loadgen.Skewed(len(f.Workspaces), workspaceSkew)
 	for i, w := range f.Workspaces {
 		p.Workspaces = append(p.Workspaces, loadgen.Workspace{Name: w.Name, Key: w.Key, Weight: w.Weight, Share: shares[i]})
 	}
 	return p
 }
 
-// moveDC takes a data centre out and back at times after the start of the load.
-func moveDC(ctx context.Context, f *fleetrun.Fleet, r *loadgen.Run, dc string, out, back time.Duration) (m move) {
+// moveDataCentre takes a data centre out of service and brings it back, each at the given
+// time after the call.
+func moveDataCentre(ctx context.Context, f *fleetrun.Fleet, r *loadgen.Run, dc string, out, back time.Duration) (m dataCentreMove) {
 	begin := time.Now()
-	if m.err = pause(ctx, begin.Add(out)); m.err != nil {
+	if m.err = sleepUntil(ctx, begin.Add(out)); m.err != nil {
 		return m
 	}
-	if m.err = order(ctx, f, "out", dc); m.err != nil {
+	if m.err = setDataCentre(ctx, f, "out", dc); m.err != nil {
 		return m
 	}
 	m.outAccepted = time.Now()
-	if m.err = pause(ctx, begin.Add(back)); m.err != nil {
+	if m.err = sleepUntil(ctx, begin.Add(back)); m.err != nil {
 		return m
 	}
-	m.backAsked = time.Now()
-	m.err = order(ctx, f, "back", dc)
+	m.backRequested = time.Now()
+	m.err = setDataCentre(ctx, f, "back", dc)
 	return m
 }
 
-func order(ctx context.Context, f *fleetrun.Fleet, what, dc string) error {
+// setDataCentre runs the nutmegctl command "out" or "back" for a data centre.
+func setDataCentre(ctx context.Context, f *fleetrun.Fleet, command, dc string) error {
 	begin := time.Now()
-	// -no-wait: the bound of R4 counts from acceptance.
-	if _, err := f.Ctl(ctx, "-no-wait", what, dc); err != nil {
+	// -no-wait returns at the acceptance of the change, from which the bound of R4 counts.
+	if _, err := f.Ctl(ctx, "-no-wait", command, dc); err != nil {
 		return err
 	}
-	fmt.Printf("       nutmegctl %s %s: accepted in %d ms\n", what, dc, time.Since(begin).Milliseconds())
+	fmt.Printf("       nutmegctl %s %s: accepted in %d ms\n", command, dc, time.Since(begin).Milliseconds())
 	return nil
 }
 
-func pause(ctx context.Context, until time.Time) error {
+// sleepUntil waits for a time, or returns the error of a cancelled context.
+func sleepUntil(ctx context.Context, until time.Time) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -126,13 +131,13 @@
 	}
 }
 
-// showProgress prints a line every few seconds until the returned function is
+// showProgress prints a line every progressInterval until the returned function is
 // called.
 func showProgress(r *loadgen.Run) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		tick := time.NewTicker(showEvery)
+		tick := time.NewTicker(progressInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -148,8 +153,8 @@
 	return func() { close(done); <-ended }
 }
 
-// judge prints the tables and decides on the exit code.
-func judge(ctx context.Context, f *fleetrun.Fleet, r *loadgen.Run, m move) int {
+// evaluate prints the tables and returns the exit code.
+func evaluate(ctx context.Context, f *fleetrun.Fleet, r *loadgen.Run, m dataCentreMove) int {
 	ev, err := loadgen.Collect(context.WithoutCancel(ctx), f.TargetAddresses("", ""))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
@@ -158,28 +163,29 @@
 	rep := r.Report(ev)
 	fmt.Println()
 	rep.Write(os.Stdout)
-	late := lateStarts(f, ev, demoDC, m)
-	fmt.Printf("\nbreaches of targets' capacity: %d\nnew work in %s more than %v after it was out: %d\n", ev.Breaches(), demoDC, outBound, late)
+	startsOut := startsWhileOut(f, ev, demoDataCentre, m)
+	fmt.Printf("\nbreaches of targets' capacity: %d\nnew work in %s more than %v after it was out: %d\n", ev.Breaches(), demoDataCentre, maxOutDelay, startsOut)
 	if m.err != nil {
 		fmt.Fprintln(os.Stderr, "demo: move:", m.err)
 		return exitFleet
 	}
-	// The load fits into three data centres, so a refusal is an outage.
-	if !rep.Clean() || rep.Total.Refused+rep.Total.Skipped > 0 || ev.Breaches() > 0 || late > 0 {
-		fmt.Println("result: NOT CLEAN: something was lost, doubled or refused, or a bound was broken")
-		return exitDirty
+	// Three data centres have capacity for the load, so a refusal is a fault.
+	if !rep.Clean() || rep.Total.Refused+rep.Total.Skipped > 0 || ev.Breaches() > 0 || startsOut > 0 {
+		fmt.Println("result: NOT CLEAN: something was lost, doubled or refused, or a bound was exceeded")
+		return exitViolation
 	}
 	fmt.Println("result: nothing lost, nothing doubled")
 	return exitOK
 }
 
-// lateStarts counts new work in a data centre that was out.
-func lateStarts(f *fleetrun.Fleet, ev *loadgen.Evidence, dc string, m move) (n int) {
-	if m.outAccepted.IsZero() || m.backAsked.IsZero() {
+// startsWhileOut counts the starts of work in a data centre from maxOutDelay after the
+// acceptance of its removal to the request to bring it back.
+func startsWhileOut(f *fleetrun.Fleet, ev *loadgen.Evidence, dc string, m dataCentreMove) (n int) {
+	if m.outAccepted.IsZero() || m.backRequested.IsZero() {
 		return 0
 	}
 	for _, addr := range f.TargetAddresses("", dc) {
-		n += ev.StartsAfter(addr, m.outAccepted.Add(outBound)) - ev.StartsAfter(addr, m.backAsked)
+		n += ev.StartsAfter(addr, m.outAccepted.Add(maxOutDelay)) - ev.StartsAfter(addr, m.backRequested)
 	}
 	return n
 }
--- a/cmd/nutmegbench/main.go
+++ b/cmd/nutmegbench/main.go
@@ -1,8 +1,8 @@
-// Command nutmegbench runs the demonstration and the benchmark of a fleet on
-// this machine. It starts the programs built into its -bin folder.
+// Command nutmegbench runs a demonstration or the benchmark of a fleet on this machine.
+// It starts the fleet's processes from the binaries in the folder -bin.
 //
-// Exit codes: 0 done and clean, 1 a response was lost, doubled, wrong or falsely
-// refused, or a bound was broken, 2 wrong usage, 3 the fleet could not be run.
+// Exit codes: 0 done without violations, 1 a response was lost, doubled, wrong or
+// falsely refused, or a bound was exceeded, 2 wrong usage, 3 the fleet could not be run.
 package main
 
 import (
@@ -17,10 +17,10 @@
 
 // Exit codes.
 const (
-	exitOK    = 0
-	exitDirty = 1
-	exitUsage = 2
-	exitFleet = 3
+	exitOK        = 0
+	exitViolation = 1
+	exitUsage     = 2
+	exitFleet     = 3
 )
 
 // options are the flags that all commands share.
@@ -28,24 +28,25 @@
 	bin  string
 	dir  string
 	seed uint64
-	// short makes the benchmark's phases short, to try the program itself.
+	// short shortens the benchmark's phases, to test the program itself.
 	short  bool
-	out    string
+	out    string // file for the tables; "" = none
 	only   string // run only phases whose title contains this
 	commit string
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run executes the command in args and returns the exit code.
 func run(args []string) int {
 	var o options
 	flags := flag.NewFlagSet("nutmegbench", flag.ContinueOnError)
-	flags.StringVar(&o.bin, "bin", "bin", "`folder` of the programs")
+	flags.StringVar(&o.bin, "bin", "bin", "`folder` of the fleet's binaries")
 	flags.StringVar(&o.dir, "dir", "run", "`folder` for settings, logs and data")
 	flags.Uint64Var(&o.seed, "seed", 1, "seed of the load")
-	flags.BoolVar(&o.short, "short", false, "short phases, to try the program; the figures mean nothing")
+	flags.BoolVar(&o.short, "short", false, "shorten the phases to test the program; the figures are not meaningful")
 	flags.StringVar(&o.out, "out", "", "bench: `file` for the tables")
-	flags.StringVar(&o.commit, "commit", "unknown", "bench: `commit` named in the tables")
+	flags.StringVar(&o.commit, "commit", "unknown", "bench: `commit` to print in the tables")
 	flags.StringVar(&o.only, "only", "", "bench: run only the phases whose title contains this `text`")
 	flags.Usage = func() {
 		fmt.Fprintln(flags.Output(), "usage: nutmegbench [flags] demo|bench")
--- a/cmd/nutmegctl/change.go
+++ b/cmd/nutmegctl/change.go
@@ -18,24 +18,25 @@
 	"nutmegrouter/internal/api"
 )
 
-// pollInterval is the pause between two questions about a revision, and
-// between two tries of a change.
+// pollInterval is the time between two polls for a revision in force, and between two
+// attempts to submit a change.
 const pollInterval = 200 * time.Millisecond
 
-// maxConfigBytes bounds a configuration read from a file.
+// maxConfigBytes is the largest configuration that apply and check read. Instances
+// accept no larger change.
 const maxConfigBytes = adminapi.MaxChangeBytes
 
 func (t *tool) apply(args []string) error {
 	var dryRun bool
 	var base uint64
-	rest, err := t.subflags("apply", args, 1, 1, func(fs *flag.FlagSet) {
-		fs.BoolVar(&dryRun, "dry-run", false, "show the difference and change nothing")
-		fs.Uint64Var(&base, "base", 0, "`revision` the change was reviewed against (default: the one in force)")
+	positional, err := t.subflags("apply", args, 1, 1, func(fs *flag.FlagSet) {
+		fs.BoolVar(&dryRun, "dry-run", false, "print the differences from the configuration in force and change nothing")
+		fs.Uint64Var(&base, "base", 0, "`revision` that the change is based on (default: the one in force)")
 	})
 	if err != nil {
 		return err
 	}
-	cfg, err := t.read(rest[0])
+	cfg, err := t.readConfig(positional[0])
 	if err != nil {
 		return err
 	}
@@ -55,20 +56,21 @@
 }
 
 func (t *tool) check(args []string) error {
-	rest, err := t.subflags("check", args, 1, 1, nil)
+	positional, err := t.subflags("check", args, 1, 1, nil)
 	if err != nil {
 		return err
 	}
-	cfg, err := t.read(rest[0])
+	cfg, err := t.readConfig(positional[0])
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(t.out, "%s: ok, fleet %s: %d workspaces, %d pools, %d targets\n",
-		rest[0], cfg.Fleet, len(cfg.Workspaces), len(cfg.Pools), len(cfg.Targets))
+		positional[0], cfg.Fleet, len(cfg.Workspaces), len(cfg.Pools), len(cfg.Targets))
 	return nil
 }
 
-func (t *tool) read(path string) (*fleetconfig.Config, error) {
+// readConfig reads and validates a configuration; path "-" means standard input.
+func (t *tool) readConfig(path string) (*fleetconfig.Config, error) {
 	in := t.in
 	if path != "-" {
 		f, err := os.Open(path)
@@ -78,14 +80,14 @@
 		defer f.Close()
 		in = f
 	}
-	raw, err := io.ReadAll(io.LimitReader(in, maxConfigBytes+1))
+	data, err := io.ReadAll(io.LimitReader(in, maxConfigBytes+1))
 	if err != nil {
 		return nil, &exitError{exitUsage, errors.Wrap(err, "read configuration")}
 	}
-	if len(raw) > maxConfigBytes {
+	if len(data) > maxConfigBytes {
 		return nil, usageError("%s: configuration is larger than %d bytes", path, maxConfigBytes)
 	}
-	cfg, err := fleetconfig.Parse(raw)
+	cfg, err := fleetconfig.Parse(data)
 	if err != nil {
 		return nil, &exitError{exitUsage, errors.WithMessage(err, path)}
 	}
@@ -104,8 +106,10 @@
 	return nil
 }
 
+// setDataCentre implements the commands "out" and "back" (name), which take one
+// argument, a data centre.
 func (t *tool) setDataCentre(args []string, name string, out bool) error {
-	rest, err := t.subflags(name, args, 1, 1, nil)
+	positional, err := t.subflags(name, args, 1, 1, nil)
 	if err != nil {
 		return err
 	}
@@ -115,20 +119,20 @@
 	if err != nil {
 		return err
 	}
-	return t.submit(ctx, api.Submission{Base: view.Revision, DataCentre: rest[0], Out: out})
+	return t.submit(ctx, api.Submission{Base: view.Revision, DataCentre: positional[0], Out: out})
 }
 
 func (t *tool) takeOut(args []string) error   { return t.setDataCentre(args, "out", true) }
 func (t *tool) bringBack(args []string) error { return t.setDataCentre(args, "back", false) }
 
-// submit sends one change until its outcome is known, always with the same id,
-// so that a repeat changes nothing.
+// submit submits a change and, unless -no-wait is given, waits until it is in force. All
+// attempts carry the same change id, so that a retry has no further effect.
 func (t *tool) submit(ctx context.Context, s api.Submission) error {
 	s.ChangeID, s.Author = t.changeID, t.author
 	if s.ChangeID == "" {
 		s.ChangeID = newChangeID()
 	}
-	res, err := t.submitUntilKnown(ctx, s)
+	res, err := t.submitWithRetry(ctx, s)
 	if err != nil {
 		return &exitError{exitUnknown, errors.WithMessagef(err,
 			"outcome unknown; resend with -change-id %s -base %d", s.ChangeID, s.Base)}
@@ -140,7 +144,7 @@
 		return &exitError{exitUsage, errors.Errorf("refused: %s; nothing was changed", res.Error)}
 	}
 	if !t.noWait {
-		if err := t.waitFor(ctx, res.Revision); err != nil {
+		if err := t.waitInForce(ctx, res.Revision); err != nil {
 			return err
 		}
 	}
@@ -158,11 +162,13 @@
 	return ""
 }
 
-func (t *tool) submitUntilKnown(ctx context.Context, s api.Submission) (api.SubmitResult, error) {
+// submitWithRetry submits a change until its outcome is known or ctx expires. It retries
+// after connection errors and 5xx statuses, because the change may have been accepted.
+func (t *tool) submitWithRetry(ctx context.Context, s api.Submission) (api.SubmitResult, error) {
 	for {
 		res, err := t.client.Submit(ctx, s)
-		var se *adminapi.StatusError
-		if err == nil || errors.As(err, &se) && se.Code < 500 {
+		var status *adminapi.StatusError
+		if err == nil || errors.As(err, &status) && status.Code < 500 {
 			return res, err
 		}
 		select {
@@ -173,24 +179,25 @@
 	}
 }
 
+// newChangeID returns a random change id of 64 bits in hexadecimal.
 func newChangeID() string {
-	raw := make([]byte, 8)
-	_, _ = rand.Read(raw) // never fails on supported systems
-	return hex.EncodeToString(raw)
+	data := make([]byte, 8)
+	_, _ = rand.Read(data) // crypto/rand.Read never returns an error
+	return hex.EncodeToString(data)
 }
 
 func (t *tool) wait(args []string) error {
-	rest, err := t.subflags("wait", args, 0, 1, nil)
+	positional, err := t.subflags("wait", args, 0, 1, nil)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := t.context()
 	defer cancel()
-	revision, err := t.revisionArg(ctx, rest)
+	revision, err := t.revisionArg(ctx, positional)
 	if err != nil {
 		return err
 	}
-	if err := t.waitFor(ctx, revision); err != nil {
+	if err := t.waitInForce(ctx, revision); err != nil {
 		return err
 	}
 	if t.json {
@@ -200,13 +207,15 @@
 	return nil
 }
 
-func (t *tool) revisionArg(ctx context.Context, rest []string) (uint64, error) {
-	if len(rest) == 1 {
-		n, err := strconv.ParseUint(rest[0], 10, 64)
-		if err != nil || n == 0 {
-			return 0, usageError("revision wants a number from 1, got %q", rest[0])
+// revisionArg returns the revision given as an argument or, without one, the revision in
+// force on the first instance that responds.
+func (t *tool) revisionArg(ctx context.Context, positional []string) (uint64, error) {
+	if len(positional) == 1 {
+		revision, err := strconv.ParseUint(positional[0], 10, 64)
+		if err != nil || revision == 0 {
+			return 0, usageError("revision wants a number from 1, got %q", positional[0])
 		}
-		return n, nil
+		return revision, nil
 	}
 	view, err := t.client.View(ctx)
 	if err == nil && view.Revision == 0 {
@@ -215,7 +224,9 @@
 	return view.Revision, err
 }
 
-func (t *tool) waitFor(ctx context.Context, revision uint64) error {
+// waitInForce polls until a revision is in force on every instance that may dispatch
+// work. If ctx expires first, the error names the instances that still lack it.
+func (t *tool) waitInForce(ctx context.Context, revision uint64) error {
 	for {
 		res, err := t.client.InForce(ctx, revision)
 		if err == nil && res.InForce {
--- a/cmd/nutmegctl/explain.go
+++ b/cmd/nutmegctl/explain.go
@@ -13,41 +13,42 @@
 	"nutmegrouter/internal/explain"
 )
 
-// explain prints the story of a request from log files or standard input.
+// explain implements the command "explain": it prints the log lines of a request in
+// order of time, its outcome, and the state that the instances acted on.
 func (t *tool) explain(args []string) error {
 	asJSON := t.json
-	rest, err := t.subflags("explain", args, 1, maxLogFiles, func(fs *flag.FlagSet) {
+	positional, err := t.subflags("explain", args, 1, maxLogFiles, func(fs *flag.FlagSet) {
 		fs.BoolVar(&asJSON, "json", t.json, "print JSON")
 	})
 	if err != nil {
 		return err
 	}
-	r := explain.NewReader(rest[0])
-	for _, name := range rest[1:] {
-		if err := readLog(r, name); err != nil {
+	r := explain.NewReader(positional[0])
+	for _, name := range positional[1:] {
+		if err := readLogFile(r, name); err != nil {
 			return err
 		}
 	}
-	if len(rest) == 1 {
+	if len(positional) == 1 {
 		if err := r.Read(t.in); err != nil {
 			return err
 		}
 	}
-	s := r.Story()
+	story := r.Story()
 	if asJSON {
-		return t.printJSON(s)
+		return t.printJSON(story)
 	}
-	t.printStory(s)
-	if len(s.Lines) == 0 {
-		return errors.Errorf("no line of request %s in %d lines of %d instances", s.Request, s.Read, len(s.Instances))
+	t.printStory(story)
+	if len(story.Lines) == 0 {
+		return errors.Errorf("no line of request %s in %d lines of %d instances", story.Request, story.Read, len(story.Instances))
 	}
 	return nil
 }
 
-// maxLogFiles is one file for each instance of the largest fleet, several times over.
+// maxLogFiles allows several log files for each instance of the largest fleet.
 const maxLogFiles = 10000
 
-func readLog(r *explain.Reader, name string) error {
+func readLogFile(r *explain.Reader, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return errors.WithMessage(err, "open log")
@@ -56,39 +57,39 @@
 	return errors.WithMessage(r.Read(f), name)
 }
 
-func (t *tool) printStory(s explain.Story) {
-	if len(s.Beliefs) > 0 {
-		fmt.Fprintln(t.out, "believed when the request arrived:")
+func (t *tool) printStory(story explain.Story) {
+	if len(story.Beliefs) > 0 {
+		fmt.Fprintln(t.out, "last known state when the request arrived:")
 	}
-	for _, b := range s.Beliefs {
-		fmt.Fprintf(t.out, "  %9s before  %s  %s %s\n", b.Age.Round(time.Millisecond), b.Instance, b.Message, fields(b.Line))
+	for _, b := range story.Beliefs {
+		fmt.Fprintf(t.out, "  %9s before  %s  %s %s\n", b.Age.Round(time.Millisecond), b.Instance, b.Message, formatFields(b.Line))
 	}
-	if len(s.Lines) > 0 {
-		fmt.Fprintf(t.out, "request %s, from %s:\n", s.Request, s.Lines[0].Time.Format(time.RFC3339Nano))
+	if len(story.Lines) > 0 {
+		fmt.Fprintf(t.out, "request %s, from %s:\n", story.Request, story.Lines[0].Time.Format(time.RFC3339Nano))
 	}
-	for _, l := range s.Lines {
-		fmt.Fprintf(t.out, "  %+9s  %s  %s %s\n", l.Time.Sub(s.Lines[0].Time).Round(time.Millisecond), l.Instance, l.Message, fields(l))
+	for _, l := range story.Lines {
+		fmt.Fprintf(t.out, "  %+9s  %s  %s %s\n", l.Time.Sub(story.Lines[0].Time).Round(time.Millisecond), l.Instance, l.Message, formatFields(l))
 	}
 	switch {
-	case s.Outcome != nil:
-		fmt.Fprintf(t.out, "outcome: %s %s\n", s.Outcome.Message, fields(*s.Outcome))
-	case len(s.Lines) > 0:
-		fmt.Fprintln(t.out, "outcome: unknown; no line ends the request, the process may have stopped")
+	case story.Outcome != nil:
+		fmt.Fprintf(t.out, "outcome: %s %s\n", story.Outcome.Message, formatFields(*story.Outcome))
+	case len(story.Lines) > 0:
+		fmt.Fprintln(t.out, "outcome: unknown; no log line ends the request, the process may have stopped")
 	}
-	fmt.Fprintf(t.out, "read %d lines of %d instances; %d were no log lines\n", s.Read, len(s.Instances), s.Unreadable)
-	if len(s.Missing) > 0 {
-		fmt.Fprintf(t.out, "named by these lines but missing from the input: %s\n", strings.Join(s.Missing, ", "))
+	fmt.Fprintf(t.out, "read %d lines of %d instances; %d were not log lines\n", story.Read, len(story.Instances), story.Unreadable)
+	if len(story.Missing) > 0 {
+		fmt.Fprintf(t.out, "instances named in these lines but missing from the input: %s\n", strings.Join(story.Missing, ", "))
 	}
 }
 
-// fields prints the inputs of a line in a stable order.
-func fields(l explain.Line) string {
-	var out []string
+// formatFields formats the fields of a log line as "name=value" in order of name.
+func formatFields(l explain.Line) string {
+	var pairs []string
 	for name, v := range l.Fields {
 		if name != "request" && name != "plugin" {
-			out = append(out, fmt.Sprintf("%s=%v", name, v))
+			pairs = append(pairs, fmt.Sprintf("%s=%v", name, v))
 		}
 	}
-	slices.Sort(out)
-	return strings.Join(out, " ")
+	slices.Sort(pairs)
+	return strings.Join(pairs, " ")
 }
--- a/cmd/nutmegctl/main_test.go
+++ b/cmd/nutmegctl/main_test.go
@@ -17,18 +17,19 @@
 	"nutmegrouter/internal/api"
 )
 
-// fakeInstance answers the operators' interface from a script.
+// fakeInstance serves the operators' API with preset responses and records the changes
+// that it receives.
 type fakeInstance struct {
 	mu      sync.Mutex
 	address string
 	changes []api.Submission
-	// failures is the number of changes answered with 503 before one passes.
+	// failures is the number of changes rejected with status 503 before one is accepted.
 	failures int
 	result   api.SubmitResult
 	inForce  bool
 }
 
-func startFake(t *testing.T) *fakeInstance {
+func startFakeInstance(t *testing.T) *fakeInstance {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -69,15 +70,15 @@
 	return code, out.String(), errOut.String()
 }
 
-const document = `{"fleet": "f", "data_centres": [{"name": "a"}], "workspaces": [], "pools": [], "targets": [],}`
+const exampleDocument = `{"fleet": "f", "data_centres": [{"name": "a"}], "workspaces": [], "pools": [], "targets": [],}`
 
-// Guards against a lost answer that makes a second change: a repeat must carry
-// the same id and base.
-func TestSubmitRepeatsSameChange(t *testing.T) {
+// Guards against a retry after a lost response that makes a second change: every
+// attempt must carry the same change id and base revision.
+func TestSubmitRetriesSameChange(t *testing.T) {
 	is := is.New(t)
-	f := startFake(t)
+	f := startFakeInstance(t)
 	f.failures = 2
-	code, out, errOut := runTool(document, "-admin", "127.0.0.1:1,"+f.address, "apply", "-")
+	code, out, errOut := runTool(exampleDocument, "-admin", "127.0.0.1:1,"+f.address, "apply", "-")
 	is.Equal(errOut, "")
 	is.Equal(code, exitOK)
 	is.True(strings.Contains(out, "revision 5 accepted and in force everywhere"))
@@ -87,10 +88,11 @@
 	is.True(f.changes[0].ChangeID != "")
 }
 
-// Guards against exit codes and messages that hide what happened to a change.
+// Guards against a wrong exit code, and against an error that does not say what happened
+// to a change.
 func TestExitCodes(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.json")
-	is.New(t).NoErr(os.WriteFile(bad, []byte(`{"fleet": "", "targets": [{}]}`), 0o600))
+	invalid := filepath.Join(t.TempDir(), "bad.json")
+	is.New(t).NoErr(os.WriteFile(invalid, []byte(`{"fleet": "", "targets": [{}]}`), 0o600))
 	cases := []struct {
 		name   string
 		change func(*fakeInstance)
@@ -102,7 +104,7 @@
 		{"refused", func(f *fakeInstance) { f.result = api.SubmitResult{Error: "no such data centre"} }, []string{"back", "a"}, exitUsage, "no such data centre"},
 		{"not in force", func(f *fakeInstance) { f.inForce = false }, []string{"wait", "5"}, exitUnknown, "waiting for [b]"},
 		{"unknown outcome", func(f *fakeInstance) { f.failures = 1 << 30 }, []string{"out", "a"}, exitUnknown, "resend with -change-id"},
-		{"invalid document", nil, []string{"apply", bad}, exitUsage, "targets[0].pool"},
+		{"invalid document", nil, []string{"apply", invalid}, exitUsage, "targets[0].pool"},
 		{"missing file", nil, []string{"check", "none"}, exitUsage, "read configuration"},
 		{"bad revision", nil, []string{"wait", "x"}, exitUsage, "revision wants a number"},
 		{"unknown command", nil, []string{"nothing"}, exitUsage, "unknown command"},
@@ -112,32 +114,32 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := startFake(t)
+			f := startFakeInstance(t)
 			if c.change != nil {
 				c.change(f)
 			}
 			code, _, errOut := runTool("", append([]string{"-admin", f.address, "-timeout", "1s"}, c.args...)...)
 			is.Equal(code, c.code)
-			is.True(strings.Contains(errOut, c.text)) // tells what happened
+			is.True(strings.Contains(errOut, c.text)) // the error says what happened
 		})
 	}
 }
 
-// Guards against a dry run that submits.
+// Guards against a dry run that submits the change.
 func TestDryRunChangesNothing(t *testing.T) {
 	is := is.New(t)
-	f := startFake(t)
-	code, out, _ := runTool(document, "-admin", f.address, "apply", "-dry-run", "-")
+	f := startFakeInstance(t)
+	code, out, _ := runTool(exampleDocument, "-admin", f.address, "apply", "-dry-run", "-")
 	is.Equal(code, exitOK)
 	is.True(strings.Contains(out, "+ data_centre a"))
 	is.Equal(len(f.changes), 0)
 }
 
-// Guards against a status that fails, or stays silent, because one address does
-// not answer.
-func TestStatusWithLostInstance(t *testing.T) {
+// Guards against a status command that fails because one address does not respond, or
+// that does not show this address.
+func TestStatusWithUnreachableInstance(t *testing.T) {
 	is := is.New(t)
-	f := startFake(t)
+	f := startFakeInstance(t)
 	code, out, _ := runTool("", "-admin", f.address+",127.0.0.1:1", "status")
 	is.Equal(code, exitOK)
 	is.True(strings.Contains(out, "leader"))
@@ -146,22 +148,22 @@
 	is.Equal(code, exitFailure)
 }
 
-// Guards against a frozen instance, which accepts connections and never answers,
-// using up the time of the whole command.
-func TestFrozenInstance(t *testing.T) {
+// Guards against one suspended instance using up the time of the whole command. The
+// operating system still accepts connections for it, but it never responds.
+func TestSuspendedInstance(t *testing.T) {
 	is := is.New(t)
-	frozen, err := net.Listen("tcp", "127.0.0.1:0")
+	suspended, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer frozen.Close()
-	f := startFake(t)
-	code, _, errOut := runTool("", "-admin", frozen.Addr().String()+","+f.address, "-timeout", "8s", "out", "a")
+	defer suspended.Close()
+	f := startFakeInstance(t)
+	code, _, errOut := runTool("", "-admin", suspended.Addr().String()+","+f.address, "-timeout", "8s", "out", "a")
 	is.Equal(errOut, "")
 	is.Equal(code, exitOK)
 	is.Equal(len(f.changes), 1)
 }
 
-// Guards against an explanation that leaves out the outcome, or that succeeds without
-// any line of the request.
+// Guards against output without the outcome of the request, and against success although
+// no line of the request was found.
 func TestExplain(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "e1.log")
--- a/cmd/nutmegctl/read.go
+++ b/cmd/nutmegctl/read.go
@@ -52,29 +52,29 @@
 func (t *tool) history(args []string) error {
 	limit := 20
 	if _, err := t.subflags("history", args, 0, 0, func(fs *flag.FlagSet) {
-		fs.IntVar(&limit, "limit", limit, "number of changes, 1 to 1000")
+		fs.IntVar(&limit, "limit", limit, "`number` of changes, 1 to 1000")
 	}); err != nil {
 		return err
 	}
 	ctx, cancel := t.context()
 	defer cancel()
-	list, err := t.client.History(ctx, limit)
+	changes, err := t.client.History(ctx, limit)
 	if err != nil {
 		return err
 	}
 	if t.json {
-		return t.printJSON(list)
+		return t.printJSON(changes)
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REVISION\tTIME\tCHANGE\tAUTHOR\tSUMMARY")
-	for _, h := range list {
+	for _, h := range changes {
 		at := time.UnixMilli(h.UnixMs).UTC().Format(time.RFC3339)
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", h.Revision, at, h.ChangeID, h.Author, h.Summary)
 	}
 	return w.Flush()
 }
 
-// instanceStatus is the answer of one address.
+// instanceStatus is the status of the instance at an address, or the error of the call.
 type instanceStatus struct {
 	Address string           `json:"address"`
 	Error   string           `json:"error,omitempty"`
@@ -85,15 +85,15 @@
 	if _, err := t.subflags("status", args, 0, 0, nil); err != nil {
 		return err
 	}
-	list := t.statusOfAll()
-	if len(list) == 0 {
+	statuses := t.statusOfAll()
+	if len(statuses) == 0 {
 		return usageError("no address given; set -admin or NUTMEG_ADMIN")
 	}
 	answered := false
-	for _, s := range list {
+	for _, s := range statuses {
 		answered = answered || s.Status != nil
 	}
-	if err := t.printStatus(list); err != nil {
+	if err := t.printStatus(statuses); err != nil {
 		return err
 	}
 	if !answered {
@@ -102,15 +102,15 @@
 	return nil
 }
 
-// statusOfAll asks each address on its own, because a fleet in trouble gives
-// different answers.
+// statusOfAll queries every address separately, because the instances of a partitioned
+// or failing fleet report different states.
 func (t *tool) statusOfAll() []instanceStatus {
 	ctx, cancel := t.context()
 	defer cancel()
 	var out []instanceStatus
 	for _, addr := range t.client.Addresses {
-		one := &adminapi.Client{Addresses: []string{addr}, Timeout: 2 * time.Second}
-		s, err := one.Status(ctx)
+		client := &adminapi.Client{Addresses: []string{addr}, Timeout: 2 * time.Second}
+		s, err := client.Status(ctx)
 		if err != nil {
 			out = append(out, instanceStatus{Address: addr, Error: err.Error()})
 			continue
@@ -120,13 +120,13 @@
 	return out
 }
 
-func (t *tool) printStatus(list []instanceStatus) error {
+func (t *tool) printStatus(statuses []instanceStatus) error {
 	if t.json {
-		return t.printJSON(list)
+		return t.printJSON(statuses)
 	}
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "INSTANCE\tDATA CENTRE\tREADY\tREVISION\tCONTROL\tOWNS\tUNREACHABLE")
-	for _, s := range list {
+	for _, s := range statuses {
 		if s.Status == nil {
 			fmt.Fprintf(w, "%s\t-\tno: %s\t-\t-\t-\t-\n", s.Address, s.Error)
 			continue
@@ -136,12 +136,13 @@
 	return w.Flush()
 }
 
+// statusLine formats a status as a tab-separated row of the table.
 func statusLine(s adminapi.Status) string {
 	ready := "yes"
 	if !s.Ready {
 		ready = "no: " + s.NotReady
 	}
-	var owns, lost []string
+	var owns, unreachable []string
 	for _, p := range s.Pools {
 		if p.Owner == s.Instance {
 			owns = append(owns, fmt.Sprintf("%s@%d", p.Pool, p.Epoch))
@@ -149,15 +150,16 @@
 	}
 	for _, p := range s.Peers {
 		if !p.Reachable {
-			lost = append(lost, p.Instance)
+			unreachable = append(unreachable, p.Instance)
 		}
 	}
 	return strings.Join([]string{
 		s.Instance, s.DataCentre, ready, fmt.Sprint(s.Revision), s.Control.Role,
-		orDash(strings.Join(owns, " ")), orDash(strings.Join(lost, " ")),
+		orDash(strings.Join(owns, " ")), orDash(strings.Join(unreachable, " ")),
 	}, "\t")
 }
 
+// orDash returns s, or "-" as the mark of an empty column.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -182,25 +184,26 @@
 	}
 	ctx, cancel := t.context()
 	defer cancel()
-	line, err := t.client.Events(ctx, f)
+	merged, err := t.client.Events(ctx, f)
 	if err != nil {
 		return err
 	}
 	if t.json {
-		return t.printJSON(line)
+		return t.printJSON(merged)
 	}
-	for _, e := range line.Events {
+	for _, e := range merged.Events {
 		fmt.Fprintln(t.out, eventLine(e))
 	}
-	for name, n := range line.Dropped {
+	for name, n := range merged.Dropped {
 		fmt.Fprintf(t.out, "# %s dropped %d older events\n", name, n)
 	}
-	for _, name := range line.Missing {
+	for _, name := range merged.Missing {
 		fmt.Fprintf(t.out, "# %s did not answer\n", name)
 	}
 	return nil
 }
 
+// eventLine formats an event as one line. Empty and zero fields are left out.
 func eventLine(e kernel.Event) string {
 	at := time.UnixMilli(e.Stamp.UnixMs).UTC().Format("15:04:05.000")
 	var b strings.Builder
--- a/cmd/nutmegd/plugins.go
+++ b/cmd/nutmegd/plugins.go
@@ -1,6 +1,7 @@
 package main
 
-// The plug-ins of the daemon register themselves when imported.
+// The blank imports register the plug-ins of the profile "pools" and those that
+// both profiles use.
 import (
 	_ "nutmegrouter/plugin/admin"
 	_ "nutmegrouter/plugin/control"
--- a/cmd/nutmegd/plugins_routes.go
+++ b/cmd/nutmegd/plugins_routes.go
@@ -1,6 +1,6 @@
 package main
 
-// The plug-ins of the profile "routes" register themselves when imported.
+// The blank imports register the plug-ins of the profile "routes".
 import (
 	_ "nutmegrouter/platform"
 	_ "nutmegrouter/plugin/directory"
--- a/cmd/nutmegsoak/main.go
+++ b/cmd/nutmegsoak/main.go
@@ -1,5 +1,8 @@
-// Command nutmegsoak plays random faults against a fleet of real processes and
-// reports broken promises. It ends with code 1 if a seed broke one.
+// Command nutmegsoak is a randomized fault-injection test: it runs a fleet of real
+// processes under load, injects faults that the seed determines, and reports violated
+// guarantees.
+//
+// Exit codes: 0 no violation, 1 a seed failed, 2 wrong usage.
 package main
 
 import (
@@ -17,24 +20,25 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run executes the seeds given by args and returns the exit code.
 func run(args []string) int {
 	flags := flag.NewFlagSet("nutmegsoak", flag.ContinueOnError)
 	o := soak.Options{}
-	seeds := flags.Int("seeds", 1, "number of seeds, from -seed on")
+	seeds := flags.Int("seeds", 1, "number of consecutive seeds, starting with -seed")
 	flags.Uint64Var(&o.Seed, "seed", uint64(time.Now().Unix()), "first seed")
-	flags.StringVar(&o.Binary, "daemon", "bin/nutmegd", "path of the daemon")
-	flags.StringVar(&o.Dir, "dir", "", "folder for settings, data and logs; empty = a temporary one, removed after a seed without findings")
+	flags.StringVar(&o.Binary, "daemon", "bin/nutmegd", "path of the nutmegd binary")
+	flags.StringVar(&o.Dir, "dir", "", "folder for settings, data and logs; empty = a temporary one, deleted after a seed without findings")
 	flags.IntVar(&o.Controls, "controls", 5, "control instances")
 	flags.IntVar(&o.Entries, "entries", 4, "entry instances")
 	flags.IntVar(&o.Engines, "engines", 6, "model engines")
 	flags.IntVar(&o.Plain, "plain", 3, "plain services")
-	flags.IntVar(&o.Losses, "losses", 2, "control instances that may be lost at once")
-	flags.IntVar(&o.Network, "network", 20, "second byte of the loopback addresses")
+	flags.IntVar(&o.Losses, "losses", 2, "number of control instances that may fail at the same time")
+	flags.IntVar(&o.Network, "network", 20, "second byte of the loopback addresses, so that runs do not collide")
 	flags.Float64Var(&o.RequestsPerS, "rate", 60, "requests a second")
 	flags.IntVar(&o.TokensPerS, "tokens", 400_000, "tokens a second that the engines produce together")
-	flags.DurationVar(&o.Duration, "for", 20*time.Second, "time of the faults")
-	flags.BoolVar(&o.Quiet, "quiet", false, "play no faults")
-	verbose := flags.Bool("v", false, "tell about each fault")
+	flags.DurationVar(&o.Duration, "for", 20*time.Second, "duration of the fault phase")
+	flags.BoolVar(&o.Quiet, "quiet", false, "inject no faults")
+	verbose := flags.Bool("v", false, "log each injected fault")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
@@ -42,7 +46,7 @@
 	defer stop()
 	failed := 0
 	for range *seeds {
-		if !play(ctx, o, *verbose) {
+		if !runSeed(ctx, o, *verbose) {
 			failed++
 		}
 		o.Seed++
@@ -57,8 +61,8 @@
 	return 0
 }
 
-// play runs one seed and reports whether it broke nothing.
-func play(ctx context.Context, o soak.Options, verbose bool) bool {
+// runSeed runs one seed and reports whether it ended without findings.
+func runSeed(ctx context.Context, o soak.Options, verbose bool) bool {
 	temporary := o.Dir == ""
 	if temporary {
 		dir, err := os.MkdirTemp("", "nutmegsoak-")
