--- a/plugin/control/harness_test.go
+++ b/plugin/control/cluster_test.go
@@ -20,25 +20,25 @@
 	"nutmegrouter/internal/settings"
 )
 
-// cluster runs several instances in one process. Replicas are driven by pump, so
-// that elections depend on ticks and not on the machine's speed.
+// cluster runs several instances in one process. Only pump advances the replicas, so
+// elections depend on ticks and not on the speed of the machine.
 type cluster struct {
-	t     *testing.T
-	is    *is.I
-	dir   string
-	names []string
-	disks int
-	mu    sync.Mutex
-	cut   map[[2]string]bool // links that lose messages
-	nodes map[string]*instance
-	wall  time.Time
-	// losses is the number of losses that a fleet which discovers its instances
-	// bears; 0 = the instances are listed in the settings.
-	losses  int
-	founded bool // the fleet has started for the first time
+	t           *testing.T
+	is          *is.I
+	dir         string
+	names       []string
+	disks       int
+	mu          sync.Mutex
+	brokenLinks map[[2]string]bool // directed links (sender, receiver) that are down
+	instances   map[string]*instance
+	wallTime    time.Time
+	// lossesTolerated is the setting of this name in a fleet that discovers its
+	// instances; 0 = the instances are listed in the settings.
+	lossesTolerated int
+	bootstrapped    bool // the first start is over: instances start without bootstrap
 }
 
-// instance is one running instance and its stand-ins for mesh, lease and fleet.
+// instance is a running instance, and its own fake of the mesh.
 type instance struct {
 	cluster  *cluster
 	name     string
@@ -46,14 +46,16 @@
 	mu       sync.Mutex
 	handlers map[string]api.Handler
 	view     *api.View
-	ctx      context.Context // ends when the instance is killed
+	ctx      context.Context // cancelled when the instance is killed
 	kill     context.CancelFunc
 }
 
+// newCluster starts instances that are listed in the settings: first those with a disk,
+// then the others.
 func newCluster(t *testing.T, disks, others int) *cluster {
 	c := &cluster{
 		t: t, is: is.New(t), dir: t.TempDir(), disks: disks,
-		cut: map[[2]string]bool{}, nodes: map[string]*instance{}, wall: time.Unix(1_800_000_000, 0),
+		brokenLinks: map[[2]string]bool{}, instances: map[string]*instance{}, wallTime: time.Unix(1_800_000_000, 0),
 	}
 	for i := range disks + others {
 		c.names = append(c.names, fmt.Sprintf("i%d", i))
@@ -70,7 +72,7 @@
 }
 
 func (c *cluster) settings(name string) *settings.Settings {
-	if c.losses > 0 {
+	if c.lossesTolerated > 0 {
 		return c.routedSettings(name)
 	}
 	s := &settings.Settings{Instance: name}
@@ -90,16 +92,16 @@
 	inst.control = &Control{}
 	c.is.NoErr(inst.control.Provision(c.context(name, inst)))
 	c.is.NoErr(inst.control.Validate())
-	inst.control.wall = func() time.Time { c.mu.Lock(); defer c.mu.Unlock(); return c.wall }
+	inst.control.wallClock = func() time.Time { c.mu.Lock(); defer c.mu.Unlock(); return c.wallTime }
 	c.mu.Lock()
-	c.nodes[name] = inst
+	c.instances[name] = inst
 	c.mu.Unlock()
 }
 
 func (c *cluster) context(name string, inst *instance) *kernel.Context {
 	k := kernel.NewContext(c.settings(name), slog.New(slog.NewTextHandler(io.Discard, nil)), kernel.NewClock())
 	c.is.NoErr(kernel.Provide[api.Mesh](k, inst))
-	if c.losses > 0 {
+	if c.lossesTolerated > 0 {
 		c.is.NoErr(kernel.Provide[api.Topology](k, topology{inst}))
 	} else {
 		c.is.NoErr(kernel.Provide[api.Lease](k, lease{inst}))
@@ -108,11 +110,11 @@
 	return k
 }
 
-// stop ends an instance as a kill does: nothing is handed over.
+// stop kills an instance: it does not drain, so leadership is not transferred.
 func (c *cluster) stop(name string) {
 	c.mu.Lock()
-	inst := c.nodes[name]
-	delete(c.nodes, name)
+	inst := c.instances[name]
+	delete(c.instances, name)
 	c.mu.Unlock()
 	if inst != nil {
 		inst.kill()
@@ -120,30 +122,31 @@
 	}
 }
 
-func (c *cluster) get(name string) *instance {
+// running returns a running instance by its name, or nil.
+func (c *cluster) running(name string) *instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes[name]
+	return c.instances[name]
 }
 
-// pump runs one tick of every replica.
+// pump runs one tick of every replica and distributes the views.
 func (c *cluster) pump() {
 	for _, name := range c.names {
-		inst := c.get(name)
+		inst := c.running(name)
 		if inst == nil {
 			continue
 		}
 		ctl := inst.control
-		if ctl.replica != nil && !ctl.replica.failed {
+		if ctl.replica != nil && !ctl.replica.diskFailed {
 			ctl.drainRings(ctl.replica)
 			ctl.replica.tick()
-			if err := ctl.replica.flush(); err != nil {
-				c.is.True(c.losses > 0) // only with the profile "routes" a disk may refuse writes
-				ctl.replica.failAll()
-				ctl.replica.fail()
+			if err := ctl.replica.processReady(); err != nil {
+				c.is.True(c.lossesTolerated > 0) // the tests fail writes only with discovered instances
+				ctl.replica.failPendingCalls()
+				ctl.replica.dropNode()
 			}
 		}
-		for _, p := range inst.Peers() { // as the lease plug-in does
+		for _, p := range inst.Peers() { // as the lease plug-in distributes views
 			if other := inst.peer(p); other != nil {
 				fleet{inst}.Install(fleet{other}.View())
 			}
@@ -151,34 +154,34 @@
 	}
 }
 
-// serveUntil lets the replicas handle calls and messages while no tick passes,
-// until the condition holds, for at most 10 s.
-func (c *cluster) serveUntil(what string, cond func() bool) {
+// drainUntil lets the replicas handle calls and messages without ticks until the
+// condition holds, for at most 10 s.
+func (c *cluster) drainUntil(what string, cond func() bool) {
 	c.t.Helper()
 	for begin := time.Now(); !cond(); time.Sleep(time.Millisecond) {
 		if time.Since(begin) > 10*time.Second {
 			c.t.Fatalf("not reached: %s", what)
 		}
 		for _, name := range c.names {
-			if inst := c.get(name); inst != nil && inst.control.replica != nil {
+			if inst := c.running(name); inst != nil && inst.control.replica != nil {
 				inst.control.drainRings(inst.control.replica)
-				c.is.NoErr(inst.control.replica.flush())
+				c.is.NoErr(inst.control.replica.processReady())
 			}
 		}
 	}
 }
 
-// join runs the joining of groups, which asks other instances, beside pump.
-func (c *cluster) join() {
+// joinAll runs joinGroup once on every disk instance while pump serves its calls.
+func (c *cluster) joinAll() {
 	for _, name := range c.names[:c.disks] {
-		if inst := c.get(name); inst != nil {
-			c.during(func() { inst.control.joinGroup(context.Background()) })
+		if inst := c.running(name); inst != nil {
+			c.pumpDuring(func() { inst.control.joinGroup(context.Background()) })
 		}
 	}
 }
 
-// during pumps until f has returned.
-func (c *cluster) during(f func()) {
+// pumpDuring calls pump until f has returned.
+func (c *cluster) pumpDuring(f func()) {
 	done := make(chan struct{})
 	go func() { f(); close(done) }()
 	for {
@@ -191,29 +194,31 @@
 	}
 }
 
-// until pumps until the condition holds, for at most 4000 ticks.
-func (c *cluster) until(what string, cond func() bool) {
+// pumpUntil calls pump until the condition holds, for at most 4000 ticks, and joinAll
+// every 20 ticks.
+func (c *cluster) pumpUntil(what string, cond func() bool) {
 	c.t.Helper()
 	for i := range 4000 {
 		if cond() {
 			return
 		}
 		if i%20 == 0 {
-			c.join()
+			c.joinAll()
 		}
 		c.pump()
 	}
 	for _, name := range c.names {
-		if inst := c.get(name); inst != nil {
+		if inst := c.running(name); inst != nil {
 			c.t.Logf("%s: %+v", name, inst.control.Status())
 		}
 	}
 	c.t.Fatalf("not reached: %s", what)
 }
 
+// leader returns the first instance whose replica has the role of leader, or "".
 func (c *cluster) leader() string {
 	for _, name := range c.names {
-		if inst := c.get(name); inst != nil && inst.control.Status().Role == "leader" {
+		if inst := c.running(name); inst != nil && inst.control.Status().Role == "leader" {
 			return name
 		}
 	}
@@ -222,18 +227,18 @@
 
 func (c *cluster) waitLeader() string {
 	c.t.Helper()
-	c.until("a leader", func() bool { return c.leader() != "" })
+	c.pumpUntil("a leader", func() bool { return c.leader() != "" })
 	return c.leader()
 }
 
-// submit submits through an instance while all replicas run.
+// submit submits a change through an instance while pump drives the replicas.
 func (c *cluster) submit(at string, s api.Submission) (r api.SubmitResult) {
 	c.t.Helper()
 	var err error
-	c.during(func() {
+	c.pumpDuring(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		r, err = c.get(at).control.Submit(ctx, s)
+		r, err = c.running(at).control.Submit(ctx, s)
 	})
 	c.is.NoErr(err)
 	return r
@@ -242,9 +247,10 @@
 func (c *cluster) setLink(a, b string, up bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[[2]string{a, b}], c.cut[[2]string{b, a}] = !up, !up
+	c.brokenLinks[[2]string{a, b}], c.brokenLinks[[2]string{b, a}] = !up, !up
 }
 
+// isolate takes all links of an instance down, or up again.
 func (c *cluster) isolate(name string, up bool) {
 	for _, other := range c.names {
 		if other != name {
@@ -253,14 +259,15 @@
 	}
 }
 
-// peer returns the instance at the other end of a working link.
+// peer returns the instance at the other end of a link, or nil if the link is down or
+// an end of it is not running.
 func (i *instance) peer(to string) *instance {
 	i.cluster.mu.Lock()
 	defer i.cluster.mu.Unlock()
-	if i.cluster.cut[[2]string{i.name, to}] || i.cluster.nodes[i.name] != i {
+	if i.cluster.brokenLinks[[2]string{i.name, to}] || i.cluster.instances[i.name] != i {
 		return nil
 	}
-	return i.cluster.nodes[to]
+	return i.cluster.instances[to]
 }
 
 func (i *instance) Self() string { return i.name }
@@ -303,7 +310,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(p.ctx, cancel)() // as a link breaks with its process
+	defer context.AfterFunc(p.ctx, cancel)() // the link breaks when its peer is killed
 	res, err := p.handlers[method](ctx, i.name, raw)
 	if p.ctx.Err() != nil {
 		return errors.Errorf("link to %s lost", to)
@@ -317,7 +324,7 @@
 	return json.Unmarshal(raw, result)
 }
 
-// fleet and lease stand in for the plug-ins of these names.
+// fleet and lease are fakes of the plug-ins with these names.
 type fleet struct{ *instance }
 
 func (f fleet) View() *api.View {
--- a/plugin/control/control_test.go
+++ b/plugin/control/control_test.go
@@ -7,10 +7,10 @@
 	"nutmegrouter/internal/api"
 )
 
-// TestGroup guards against a group that does not form, a change that is
-// acknowledged before a majority of instances has it, and a change that a
-// restart of everything loses.
-func TestGroup(t *testing.T) {
+// TestGroupForms guards against a group that does not form, a change that is
+// acknowledged before a majority of instances has it, and a change that is lost when
+// all instances restart.
+func TestGroupForms(t *testing.T) {
 	for _, size := range []struct{ disks, others int }{{1, 0}, {1, 2}, {3, 0}, {3, 4}} {
 		t.Run(fmt.Sprintf("%d disks %d others", size.disks, size.others), func(t *testing.T) {
 			c := newCluster(t, size.disks, size.others)
@@ -19,24 +19,24 @@
 				base := c.view(name).Revision
 				r := c.submit(name, api.Submission{ChangeID: "change-" + name, Base: base, Config: document()})
 				c.is.Equal(r, api.SubmitResult{Revision: base + 1})
-				c.is.True(c.holders(r.Revision) > len(c.names)/2)
-				c.until("view everywhere", func() bool { return c.holders(r.Revision) == len(c.names) })
+				c.is.True(c.countInstancesAt(r.Revision) > len(c.names)/2)
+				c.pumpUntil("view everywhere", func() bool { return c.countInstancesAt(r.Revision) == len(c.names) })
 			}
 			c.restartAll()
-			c.until("view after restart", func() bool { return c.holders(uint64(len(c.names))) == len(c.names) })
+			c.pumpUntil("view after restart", func() bool { return c.countInstancesAt(uint64(len(c.names))) == len(c.names) })
 			again := c.submit(c.names[0], api.Submission{ChangeID: "change-i0", Config: document()})
 			c.is.Equal(again, api.SubmitResult{Revision: 1})
 		})
 	}
 }
 
-func (c *cluster) view(name string) *api.View { return fleet{c.get(name)}.View() }
+func (c *cluster) view(name string) *api.View { return fleet{c.running(name)}.View() }
 
-// holders counts the running instances that have a revision.
-func (c *cluster) holders(revision uint64) int {
+// countInstancesAt counts the running instances that have at least a revision.
+func (c *cluster) countInstancesAt(revision uint64) int {
 	n := 0
 	for _, name := range c.names {
-		if inst := c.get(name); inst != nil && (fleet{inst}).View().Revision >= revision {
+		if inst := c.running(name); inst != nil && (fleet{inst}).View().Revision >= revision {
 			n++
 		}
 	}
--- a/plugin/control/discovered.go
+++ b/plugin/control/discovered.go
@@ -12,18 +12,21 @@
 )
 
 const (
-	// discoveredJoinInterval is how often a control instance of a fleet that
-	// discovers its instances looks whether its replica needs a group.
+	// discoveredJoinInterval is the interval of joinGroup in a fleet that discovers
+	// its instances.
 	discoveredJoinInterval = 200 * time.Millisecond
-	// discoveredCallLimit and discoveredSubmitLimit bound the wait for one replica.
-	discoveredCallLimit   = 400 * time.Millisecond
-	discoveredSubmitLimit = 1200 * time.Millisecond
-	// reopenPause separates attempts to use a disk that has refused a write.
-	reopenPause = 300 * time.Millisecond
+	// discoveredCallTimeout and discoveredSubmitTimeout bound one attempt at a
+	// replica in such a fleet.
+	discoveredCallTimeout   = 400 * time.Millisecond
+	discoveredSubmitTimeout = 1200 * time.Millisecond
+	// reopenInterval is the wait before each attempt to reopen the log after a
+	// failed write.
+	reopenInterval = 300 * time.Millisecond
 )
 
-// seeds returns the mesh addresses of the seeds, sorted.
-func (c *Control) seeds() []string {
+// seedAddresses returns the mesh addresses of the seeds in the settings, sorted and
+// without duplicates. Seeds whose address does not parse are left out.
+func (c *Control) seedAddresses() []string {
 	var out []string
 	for _, s := range c.kernel.Settings.Routes.Seeds {
 		if address, err := c.kernel.Settings.MeshAddress(s); err == nil {
@@ -34,115 +37,119 @@
 	return slices.Compact(out)
 }
 
-// joinDiscovered forms a group of the seeds when the fleet starts for the first
-// time, and joins the existing group otherwise. An empty disk never forms a group
-// later: the acknowledged state is on other disks.
+// joinDiscovered bootstraps a group of the seeds when the fleet starts for the first
+// time, and requests to join the existing group otherwise. Later an empty disk never
+// bootstraps a group, because the acknowledged state is on other disks.
 func (c *Control) joinDiscovered(ctx context.Context, self probeReply) {
-	seeds := c.seeds()
+	seeds := c.seedAddresses()
 	if self.Empty && c.kernel.Settings.Routes.Bootstrap && slices.Contains(seeds, c.mesh.Self()) {
-		found, all, fresh := c.probeOthers(ctx, self, seeds)
-		if all && fresh {
-			c.bootstrap(ctx, found)
+		replicas, allReplied, allEmpty := c.probeReplicas(ctx, self, seeds)
+		if allReplied && allEmpty {
+			c.bootstrap(ctx, replicas)
 			return
 		}
-		if fresh {
-			return // a seed is not there yet
+		if allEmpty {
+			return // wait for the seeds that have not replied
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	err := c.ask(ctx, methodJoin, joinParams{Identity: self.Identity, Instance: c.mesh.Self()}, nil)
+	err := c.callLeader(ctx, methodJoin, joinParams{Identity: self.Identity, Instance: c.mesh.Self()}, nil)
 	if err != nil {
-		c.kernel.Log.Debug("join failed", "step", "join", "error", err)
+		c.kernel.Log.Debug("request to join the control group failed", "step", "join", "error", err)
 	}
 }
 
-// mayJoin reports whether an instance may hold a replica.
-func (c *Control) mayJoin(instance string) bool {
-	return c.members != nil || slices.Contains(c.replicas, instance)
+// mayHoldReplica reports whether the leader accepts a replica on an instance: any
+// instance if instances are discovered, otherwise those with a disk in the settings.
+func (c *Control) mayHoldReplica(instance string) bool {
+	return c.topology != nil || slices.Contains(c.diskInstances, instance)
 }
 
-// voterTarget is the number of voters that bears the tolerated losses.
-func (r *replica) voterTarget() int { return 2*r.c.kernel.Settings.Routes.LossesTolerated + 1 }
+// desiredVoters returns the number of voters that keeps a quorum after the tolerated
+// number of losses.
+func (r *replica) desiredVoters() int { return 2*r.c.kernel.Settings.Routes.LossesTolerated + 1 }
 
-// maintainDiscovered fills the places of lost voters, one change at a time. A
-// newcomer votes before the voter that it replaces leaves, except on the same
-// instance, whose former disk is gone. The group never shrinks below its target
-// otherwise.
-func (r *replica) maintainDiscovered(m consensus.Membership) {
-	target := r.voterTarget()
+// maintainDiscoveredMembers replaces lost voters, one membership change at a time. A
+// learner is promoted before the voter that it replaces is removed, except on the
+// same instance, whose former disk is lost. In all other cases the group keeps at
+// least the desired number of voters.
+func (r *replica) maintainDiscoveredMembers(m consensus.Membership) {
+	desired := r.desiredVoters()
 	for _, l := range m.Learners {
 		if !r.caughtUp(l) {
 			continue
 		}
 		if old := slices.IndexFunc(m.Voters, sameInstance(l.Instance)); old >= 0 {
-			r.change(consensus.Change{Kind: consensus.Remove, Member: m.Voters[old]})
+			r.proposeChange(consensus.Change{Kind: consensus.Remove, Member: m.Voters[old]})
 			return
 		}
-		if len(m.Voters) <= target {
-			r.change(consensus.Change{Kind: consensus.Promote, Member: l})
+		if len(m.Voters) <= desired {
+			r.proposeChange(consensus.Change{Kind: consensus.Promote, Member: l})
 			return
 		}
 	}
-	if len(m.Voters) > target {
-		r.removeLost(m)
+	if len(m.Voters) > desired {
+		r.removeSilentVoter(m)
 	}
 }
 
-// removeLost removes a silent voter if the rest of the group has a quorum
-// without it.
-func (r *replica) removeLost(m consensus.Membership) {
-	var lost []consensus.Member
+// removeSilentVoter removes one voter that has been silent for lostVoterTicks, if
+// the responsive voters are a quorum of the group without it.
+func (r *replica) removeSilentVoter(m consensus.Membership) {
+	var silentVoters []consensus.Member
 	for _, v := range m.Voters {
-		if _, silent, ok := r.node.Progress(v.ID); ok && silent > r.c.pace().lost {
-			lost = append(lost, v)
+		if _, silent, ok := r.node.Progress(v.ID); ok && silent > r.c.timing().lostVoterTicks {
+			silentVoters = append(silentVoters, v)
 		}
 	}
-	alive, rest := len(m.Voters)-len(lost), len(m.Voters)-1
-	if len(lost) > 0 && alive > rest/2 {
-		r.change(consensus.Change{Kind: consensus.Remove, Member: lost[0]})
+	responsive, remaining := len(m.Voters)-len(silentVoters), len(m.Voters)-1
+	if len(silentVoters) > 0 && responsive > remaining/2 {
+		r.proposeChange(consensus.Change{Kind: consensus.Remove, Member: silentVoters[0]})
 	}
 }
 
-// reopen gives up the node after its disk has refused a write, and starts again
-// from what the disk holds once it accepts writes. Until then the replica votes
-// for no one and acknowledges nothing.
+// reopen stops the node after a failed write to its disk and reloads it from the
+// disk once the log opens again. Until then the replica neither votes nor
+// acknowledges entries. It returns an error only if ctx ends.
 func (c *Control) reopen(ctx context.Context, cause error) error {
 	r := c.replica
-	c.kernel.Log.Error("disk refused a write", "step", "write", "error", cause)
+	c.kernel.Log.Error("write to control log failed", "step", "write", "error", cause)
 	c.kernel.Events.Record(kernel.Event{Kind: "control", Step: "disk-failed", Detail: cause.Error()})
-	r.failAll()
-	r.fail()
+	r.failPendingCalls()
+	r.dropNode()
 	for {
 		_ = r.log.Close() // the cause is logged above
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(reopenPause):
+		case <-time.After(reopenInterval):
 		}
-		c.discardRings(r)
+		c.drainWithoutNode(r)
 		log, st, err := wal.Open(c.logFolder())
 		if err == nil {
 			err = r.load(log, st)
 		}
 		if err == nil {
-			logqueue.Notice(c.kernel.Log, "disk accepts writes again", "step", "write", "entries", len(st.Entries))
+			logqueue.Notice(c.kernel.Log, "control log reopened after failed write", "step", "write", "entries", len(st.Entries))
 			c.kernel.Events.Record(kernel.Event{Kind: "control", Step: "disk-back"})
 			return nil
 		}
-		c.kernel.Log.Debug("disk still refuses", "step", "open", "error", err)
+		c.kernel.Log.Debug("control log still cannot be opened", "step", "open", "error", err)
 	}
 }
 
-// fail ends the node. Calls find a follower that knows no leader.
-func (r *replica) fail() {
-	r.failed = true
-	r.node = consensus.New(r.config(), consensus.HardState{}, consensus.Snapshot{}, nil)
-	r.publish()
+// dropNode replaces the node by an empty one after a failed write. Until the log is
+// loaded again, calls find a follower that knows no leader.
+func (r *replica) dropNode() {
+	r.diskFailed = true
+	r.node = consensus.New(r.nodeConfig(), consensus.HardState{}, consensus.Snapshot{}, nil)
+	r.publishStatus()
 }
 
-// discardRings answers what has queued up while the disk refuses writes.
-func (c *Control) discardRings(r *replica) {
+// drainWithoutNode empties the rings while the disk is failed: it drops Raft
+// messages and runs queued calls, which find no leader.
+func (c *Control) drainWithoutNode(r *replica) {
 	for range maxBatch {
 		select {
 		case <-c.inbox.C():
--- a/plugin/control/discovered_test.go
+++ b/plugin/control/discovered_test.go
@@ -15,8 +15,8 @@
 	"nutmegrouter/internal/wal"
 )
 
-// topology stands in for the members plug-in: an instance knows those that run and
-// that it reaches.
+// topology is a fake of the members plug-in: it lists the running instances that this
+// one can reach.
 type topology struct{ *instance }
 
 func (t topology) Controls() []string {
@@ -24,7 +24,7 @@
 	defer t.cluster.mu.Unlock()
 	var out []string
 	for _, n := range t.cluster.names {
-		if t.cluster.nodes[n] != nil && !t.cluster.cut[[2]string{t.name, n}] {
+		if t.cluster.instances[n] != nil && !t.cluster.brokenLinks[[2]string{t.name, n}] {
 			out = append(out, n)
 		}
 	}
@@ -37,11 +37,12 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7400", i+1) }
 
-// newFleet starts control instances that find each other through the first three.
-func newFleet(t *testing.T, n, losses int) *cluster {
+// newDiscoveredCluster starts n control instances that discover each other; the first
+// three are the seeds.
+func newDiscoveredCluster(t *testing.T, n, lossesTolerated int) *cluster {
 	c := &cluster{
-		t: t, is: is.New(t), dir: t.TempDir(), disks: n, losses: losses,
-		cut: map[[2]string]bool{}, nodes: map[string]*instance{}, wall: time.Unix(1_800_000_000, 0),
+		t: t, is: is.New(t), dir: t.TempDir(), disks: n, lossesTolerated: lossesTolerated,
+		brokenLinks: map[[2]string]bool{}, instances: map[string]*instance{}, wallTime: time.Unix(1_800_000_000, 0),
 	}
 	for i := range n {
 		c.names = append(c.names, address(i))
@@ -49,7 +50,7 @@
 	for _, name := range c.names {
 		c.start(name)
 	}
-	c.founded = true
+	c.bootstrapped = true
 	t.Cleanup(func() {
 		for _, name := range c.names {
 			c.stop(name)
@@ -60,22 +61,22 @@
 
 func (c *cluster) routedSettings(name string) *settings.Settings {
 	s := &settings.Settings{Profile: settings.ProfileRoutes, Instance: "n-" + name, Mesh: name, DataDir: filepath.Join(c.dir, name)}
-	s.Routes = settings.Routes{LossesTolerated: c.losses, Bootstrap: !c.founded}
+	s.Routes = settings.Routes{LossesTolerated: c.lossesTolerated, Bootstrap: !c.bootstrapped}
 	for i := range min(3, c.disks) {
 		s.Routes.Seeds = append(s.Routes.Seeds, fmt.Sprintf("10.0.0.%d:9000", i+1))
 	}
 	return s
 }
 
-// voters waits until a leader has exactly these voters.
-func (c *cluster) voters(names ...string) {
+// waitVoters waits until a leader has exactly these voters and has committed its log.
+func (c *cluster) waitVoters(names ...string) {
 	c.t.Helper()
-	c.until(fmt.Sprint("voters ", names), func() bool {
+	c.pumpUntil(fmt.Sprint("voters ", names), func() bool {
 		l := c.leader()
 		if l == "" {
 			return false
 		}
-		m := c.get(l).control.replica.node.Members()
+		m := c.running(l).control.replica.node.Members()
 		if len(m.Voters) != len(names) {
 			return false
 		}
@@ -88,33 +89,34 @@
 				return false
 			}
 		}
-		return c.get(l).control.replica.node.Commit() == c.get(l).control.replica.node.Last()
+		return c.running(l).control.replica.node.Commit() == c.running(l).control.replica.node.Last()
 	})
 }
 
-// change submits a document version through an instance, and returns once it is
-// accepted.
-func (c *cluster) change(at string, version uint64) {
+// submitVersion submits a version of the document through an instance and waits until it
+// is accepted.
+func (c *cluster) submitVersion(at string, version uint64) {
 	c.t.Helper()
 	r := c.submit(at, api.Submission{ChangeID: fmt.Sprint("v", version), Newest: true, Version: version, Document: fmt.Append(nil, "doc", version)})
 	c.is.Equal(r.Error, "")
 }
 
-// holds reads the newest document through an instance.
-func (c *cluster) holds(at string, version uint64) {
+// expectVersion checks the version and content of the document that an instance reads.
+func (c *cluster) expectVersion(at string, version uint64) {
 	c.t.Helper()
 	var v *api.View
-	c.during(func() {
+	c.pumpDuring(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		var err error
-		v, err = c.get(at).control.ReadView(ctx)
+		v, err = c.running(at).control.ReadView(ctx)
 		c.is.NoErr(err)
 	})
 	c.is.Equal(v.Version, version)
 	c.is.Equal(string(v.Document), fmt.Sprint("doc", version))
 }
 
+// wipe kills an instance and deletes its disk.
 func (c *cluster) wipe(name string) {
 	c.stop(name)
 	c.is.NoErr(os.RemoveAll(filepath.Join(c.dir, name)))
@@ -122,30 +124,31 @@
 
 func (c *cluster) follower() string {
 	for _, name := range c.names {
-		if c.get(name) != nil && name != c.leader() {
+		if c.running(name) != nil && name != c.leader() {
 			return name
 		}
 	}
 	return ""
 }
 
-// Guards against a group that forms only of the seeds, or not at all.
+// TestDiscoveredGroup guards against a group that does not form, or that only the seeds
+// join.
 func TestDiscoveredGroup(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 5} {
-		c := newFleet(t, n, 2)
-		c.voters(c.names...)
-		c.change(c.names[n-1], 7)
-		c.holds(c.names[0], 7)
+		c := newDiscoveredCluster(t, n, 2)
+		c.waitVoters(c.names...)
+		c.submitVersion(c.names[n-1], 7)
+		c.expectVersion(c.names[0], 7)
 	}
 }
 
-// Guards against an acknowledged change that is lost with two disks, with all other
-// instances down at the same moment.
+// TestTwoDisksLost guards against losing an acknowledged change when all instances stop
+// at once and two of five disks are lost.
 func TestTwoDisksLost(t *testing.T) {
 	for round := range 4 {
-		c := newFleet(t, 5, 2)
-		c.voters(c.names...)
-		c.change(c.names[round], 3)
+		c := newDiscoveredCluster(t, 5, 2)
+		c.waitVoters(c.names...)
+		c.submitVersion(c.names[round], 3)
 		lost := []string{c.leader(), c.follower()}
 		if round%2 == 1 {
 			lost = []string{c.names[3], c.names[4]}
@@ -156,63 +159,63 @@
 		for _, name := range lost {
 			c.is.NoErr(os.RemoveAll(filepath.Join(c.dir, name)))
 		}
-		for i := range c.names { // in another order than before
+		for i := range c.names { // in another order in each round
 			c.start(c.names[(i+round)%5])
 		}
-		c.voters(c.names...)
-		c.holds(lost[0], 3)
-		c.change(lost[1], 4)
-		c.holds(c.names[2], 4)
+		c.waitVoters(c.names...)
+		c.expectVersion(lost[0], 3)
+		c.submitVersion(lost[1], 4)
+		c.expectVersion(c.names[2], 4)
 	}
 }
 
-// Guards against a group that does not replace an instance which is gone for good,
-// or loses what was acknowledged when two more disks are lost after that.
-func TestReplaced(t *testing.T) {
+// TestVoterReplaced guards against a group that does not replace a permanently lost voter,
+// or that loses acknowledged changes when two more disks are lost afterwards.
+func TestVoterReplaced(t *testing.T) {
 	for _, planned := range []bool{false, true} {
-		c := newFleet(t, 5, 2)
-		c.voters(c.names...)
-		c.change(c.names[0], 3)
-		gone := c.follower()
-		newcomer := address(9)
-		c.names, c.disks = append(c.names, newcomer), 6
-		if planned { // the newcomer starts first
-			c.start(newcomer)
-			c.until("six voters", func() bool { return c.leader() != "" && len(c.get(c.leader()).control.Status().Voters) == 6 })
+		c := newDiscoveredCluster(t, 5, 2)
+		c.waitVoters(c.names...)
+		c.submitVersion(c.names[0], 3)
+		removed := c.follower()
+		added := address(9)
+		c.names, c.disks = append(c.names, added), 6
+		if planned { // the new instance joins before the old one is removed
+			c.start(added)
+			c.pumpUntil("six voters", func() bool { return c.leader() != "" && len(c.running(c.leader()).control.Status().Voters) == 6 })
 		}
-		c.wipe(gone)
+		c.wipe(removed)
 		if !planned {
-			c.start(newcomer)
+			c.start(added)
 		}
-		var rest []string
+		var remaining []string
 		for _, n := range c.names {
-			if n != gone {
-				rest = append(rest, n)
+			if n != removed {
+				remaining = append(remaining, n)
 			}
 		}
-		c.voters(rest...)
-		c.change(newcomer, 4)
-		for _, name := range rest[:2] {
+		c.waitVoters(remaining...)
+		c.submitVersion(added, 4)
+		for _, name := range remaining[:2] {
 			c.wipe(name)
 			c.start(name)
 		}
-		c.voters(rest...)
-		c.holds(newcomer, 4)
+		c.waitVoters(remaining...)
+		c.expectVersion(added, 4)
 	}
 }
 
-// Guards against a group that shrinks while instances are only down or cut off for
-// a moment.
-func TestNotShrunk(t *testing.T) {
-	c := newFleet(t, 5, 2)
-	c.voters(c.names...)
-	c.change(c.names[0], 3)
+// TestVotersKeptDuringOutage guards against a group that removes voters while instances
+// are only temporarily down or isolated.
+func TestVotersKeptDuringOutage(t *testing.T) {
+	c := newDiscoveredCluster(t, 5, 2)
+	c.waitVoters(c.names...)
+	c.submitVersion(c.names[0], 3)
 	l, f := c.leader(), c.follower()
 	c.isolate(l, false)
 	c.stop(f)
-	c.until("another leader", func() bool {
+	c.pumpUntil("another leader", func() bool {
 		for _, n := range c.names {
-			if n != l && c.get(n) != nil && c.get(n).control.Status().Role == "leader" {
+			if n != l && c.running(n) != nil && c.running(n).control.Status().Role == "leader" {
 				return true
 			}
 		}
@@ -223,101 +226,101 @@
 	}
 	c.isolate(l, true)
 	c.start(f)
-	c.voters(c.names...)
-	c.holds(f, 3)
+	c.waitVoters(c.names...)
+	c.expectVersion(f, 3)
 }
 
-// Guards against a minority that misses changes and forms a group of its own with
-// an instance whose disk is gone: the change would be lost.
-func TestMinorityBehind(t *testing.T) {
-	c := newFleet(t, 5, 2)
-	c.voters(c.names...)
-	c.change(c.names[0], 3)
-	behind := []string{}
+// TestStaleMinority guards against a minority that missed a change and elects a leader
+// together with an instance whose disk was lost: the change would be lost.
+func TestStaleMinority(t *testing.T) {
+	c := newDiscoveredCluster(t, 5, 2)
+	c.waitVoters(c.names...)
+	c.submitVersion(c.names[0], 3)
+	stale := []string{}
 	for _, n := range c.names {
-		if n != c.leader() && len(behind) < 2 {
-			behind = append(behind, n)
+		if n != c.leader() && len(stale) < 2 {
+			stale = append(stale, n)
 		}
 	}
-	for _, a := range behind {
+	for _, a := range stale {
 		for _, b := range c.names {
 			c.setLink(a, b, false)
 		}
 	}
-	c.change(c.leader(), 4)
-	var rest []string
+	c.submitVersion(c.leader(), 4)
+	var upToDate []string
 	for _, n := range c.names {
-		if n != behind[0] && n != behind[1] {
-			rest = append(rest, n)
+		if n != stale[0] && n != stale[1] {
+			upToDate = append(upToDate, n)
 		}
 	}
-	c.wipe(rest[0])
-	c.stop(rest[1])
-	c.stop(rest[2])
-	for _, a := range behind {
+	c.wipe(upToDate[0])
+	c.stop(upToDate[1])
+	c.stop(upToDate[2])
+	for _, a := range stale {
 		for _, b := range c.names {
 			c.setLink(a, b, true)
 		}
 	}
-	c.start(rest[0])
+	c.start(upToDate[0])
 	for i := range 600 {
-		if i%300 == 0 { // a join without a leader takes a second
-			c.join()
+		if i%300 == 0 { // a request to join takes 1 s without a leader
+			c.joinAll()
 		}
 		c.pump()
-		c.is.Equal(c.leader(), "") // three of five, but one of them remembers nothing
+		c.is.Equal(c.leader(), "") // three of five run, but one has lost its disk
 	}
-	c.start(rest[1])
-	c.start(rest[2])
-	c.voters(c.names...)
-	c.holds(behind[0], 4)
+	c.start(upToDate[1])
+	c.start(upToDate[2])
+	c.waitVoters(c.names...)
+	c.expectVersion(stale[0], 4)
 }
 
-// Guards against a disk that refuses writes ending the process, and against an
-// acknowledgement from it.
-func TestDiskRefuses(t *testing.T) {
-	c := newFleet(t, 3, 1)
-	c.voters(c.names...)
-	c.change(c.names[0], 3)
+// TestDiskWriteFails guards against a failed write that ends the process, and against
+// acknowledgements from the replica with the failed disk.
+func TestDiskWriteFails(t *testing.T) {
+	c := newDiscoveredCluster(t, 3, 1)
+	c.waitVoters(c.names...)
+	c.submitVersion(c.names[0], 3)
 	l := c.leader()
-	r := c.get(l).control.replica
+	r := c.running(l).control.replica
 	c.is.NoErr(r.log.Close()) // every write fails from now on
-	done := c.background(l, api.Submission{ChangeID: "v4", Newest: true, Version: 4, Document: []byte("doc4")})
-	c.until("another leader", func() bool {
+	done := c.submitInBackground(l, api.Submission{ChangeID: "v4", Newest: true, Version: 4, Document: []byte("doc4")})
+	c.pumpUntil("another leader", func() bool {
 		for _, n := range c.names {
-			if n != l && c.get(n).control.Status().Role == "leader" {
+			if n != l && c.running(n).control.Status().Role == "leader" {
 				return true
 			}
 		}
 		return false
 	})
 	c.is.Equal(c.await(done).Error, "") // accepted by the new leader
-	c.is.True(r.failed)
-	log, st, err := wal.Open(filepath.Join(c.dir, l, folder))
+	c.is.True(r.diskFailed)
+	log, st, err := wal.Open(filepath.Join(c.dir, l, logFolderName))
 	c.is.NoErr(err)
 	c.is.NoErr(r.load(log, st))
-	c.until("caught up", func() bool { return r.state.View().Version == 4 })
-	c.holds(l, 4)
+	c.pumpUntil("caught up", func() bool { return r.state.View().Version == 4 })
+	c.expectVersion(l, 4)
 }
 
-// Guards against a change that a higher version has overtaken being refused, or
-// put in force.
-func TestHighestVersion(t *testing.T) {
-	c := newFleet(t, 3, 1)
-	c.voters(c.names...)
-	c.change(c.names[0], 5)
-	c.change(c.names[1], 4)
-	c.holds(c.names[2], 5)
+// TestHighestVersionInForce guards against a change with a lower version than the one in
+// force that is refused with an error, or that takes effect.
+func TestHighestVersionInForce(t *testing.T) {
+	c := newDiscoveredCluster(t, 3, 1)
+	c.waitVoters(c.names...)
+	c.submitVersion(c.names[0], 5)
+	c.submitVersion(c.names[1], 4)
+	c.expectVersion(c.names[2], 5)
 	r := c.submit(c.names[1], api.Submission{ChangeID: "other", Newest: true, Version: 5, Document: []byte("other content")})
 	c.is.Equal(r.Error, "")
-	c.holds(c.names[0], 5)
+	c.expectVersion(c.names[0], 5)
 	out := func(id string, out bool) {
 		c.submit(c.names[2], api.Submission{ChangeID: id, Newest: true, DataCentre: "a", Out: out})
 	}
 	out("1", true)
 	out("2", true)
-	c.change(c.names[0], 9)
-	c.is.True(c.view(c.leader()).Out["a"]) // a newer document leaves it out
+	c.submitVersion(c.names[0], 9)
+	c.is.True(c.view(c.leader()).Out["a"]) // a newer document does not bring it back
 	out("3", false)
-	c.until("back", func() bool { return !c.view(c.leader()).Out["a"] })
+	c.pumpUntil("back", func() bool { return !c.view(c.leader()).Out["a"] })
 }
--- a/plugin/control/fault_test.go
+++ b/plugin/control/fault_test.go
@@ -16,15 +16,15 @@
 	"nutmegrouter/internal/consensus"
 )
 
-// TestLeaderKilled guards against a change that is lost, applied twice or
-// answered with an error when the leader is killed while it works on it.
+// TestLeaderKilled guards against a change that is lost, applied twice or failed when
+// the leader is killed while the change is pending.
 func TestLeaderKilled(t *testing.T) {
-	for _, ticks := range []int{0, 1, 2, 3, 5} { // moments at which the leader ends
+	for _, ticks := range []int{0, 1, 2, 3, 5} { // ticks between submission and kill
 		t.Run(fmt.Sprintf("after %d ticks", ticks), func(t *testing.T) {
 			c := newCluster(t, 3, 1)
 			l := c.waitLeader()
 			c.submit("i3", api.Submission{ChangeID: "first", Config: document()})
-			done := c.background("i3", api.Submission{ChangeID: "second", Base: 1, DataCentre: "a", Out: true})
+			done := c.submitInBackground("i3", api.Submission{ChangeID: "second", Base: 1, DataCentre: "a", Out: true})
 			for range ticks {
 				c.pump()
 			}
@@ -32,37 +32,38 @@
 			r := c.await(done)
 			c.is.Equal(r, api.SubmitResult{Revision: 2})
 			c.start(l)
-			c.until("view everywhere", func() bool { return c.holders(2) == 4 })
+			c.pumpUntil("view everywhere", func() bool { return c.countInstancesAt(2) == 4 })
 			c.is.Equal(c.view(l).Out, map[string]bool{"a": true})
 			c.is.Equal(len(c.history("i3")), 2)
 		})
 	}
 }
 
-// TestAcceptance guards against a change that is acknowledged while a majority
-// of all instances does not have the view, or while no quorum has synced it.
-func TestAcceptance(t *testing.T) {
+// TestAcceptedByMajority guards against a change that is acknowledged before a majority
+// of all instances has the view, or before a quorum of the disks has synced it.
+func TestAcceptedByMajority(t *testing.T) {
 	c := newCluster(t, 3, 4)
 	l := c.waitLeader()
 	c.submit(l, api.Submission{ChangeID: "first", Config: document()})
 	for _, name := range c.names[3:] {
-		c.isolate(name, false) // 3 of 7 are left: a quorum of disks, no majority of instances
+		c.isolate(name, false) // 3 of 7 remain: a quorum of the disks, but no majority of the instances
 	}
-	done := c.background(l, api.Submission{ChangeID: "second", Base: 1, DataCentre: "a", Out: true})
-	c.until("commit", func() bool { return c.view(l).Revision == 2 })
-	c.during(func() { time.Sleep(200 * time.Millisecond) })
+	done := c.submitInBackground(l, api.Submission{ChangeID: "second", Base: 1, DataCentre: "a", Out: true})
+	c.pumpUntil("commit", func() bool { return c.view(l).Revision == 2 })
+	c.pumpDuring(func() { time.Sleep(200 * time.Millisecond) })
 	c.is.Equal(len(done), 0) // committed, not accepted
 	c.isolate("i5", true)
 	c.is.Equal(c.await(done), api.SubmitResult{Revision: 2})
-	c.is.True(c.holders(2) >= 4)
+	c.is.True(c.countInstancesAt(2) >= 4)
 }
 
-// TestConflict guards against two operators who both win on one revision.
+// TestConflict guards against two concurrent changes that are both accepted on the same
+// base revision.
 func TestConflict(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.waitLeader()
-	a := c.background("i0", api.Submission{ChangeID: "a", Config: document()})
-	b := c.background("i3", api.Submission{ChangeID: "b", Config: document()})
+	a := c.submitInBackground("i0", api.Submission{ChangeID: "a", Config: document()})
+	b := c.submitInBackground("i3", api.Submission{ChangeID: "b", Config: document()})
 	ra, rb := c.await(a), c.await(b)
 	winner := "a"
 	if ra.Conflict != "" {
@@ -72,8 +73,8 @@
 	c.is.Equal(ra, api.SubmitResult{Revision: 1})
 }
 
-// TestInvalid guards against a document with errors that becomes the view.
-func TestInvalid(t *testing.T) {
+// TestInvalidDocument guards against an invalid document that takes effect.
+func TestInvalidDocument(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	c.waitLeader()
 	bad := document()
@@ -84,22 +85,22 @@
 	c.is.Equal(c.submit("i0", api.Submission{ChangeID: "bad", Config: bad}), api.SubmitResult{Revision: 1}) // stored result
 }
 
-// TestResendAfterRestart guards against a resend that is applied again after
-// hundreds of changes, a snapshot and a restart of all instances.
-func TestResendAfterRestart(t *testing.T) {
+// TestRetryAfterRestart guards against a retried change that is applied again after
+// hundreds of other changes, a snapshot and a restart of all instances.
+func TestRetryAfterRestart(t *testing.T) {
 	c := newCluster(t, 3, 0)
 	c.waitLeader()
 	c.submit("i0", api.Submission{ChangeID: "doc", Config: document()})
-	c.during(func() {
+	c.pumpDuring(func() {
 		for i := range 300 {
-			c.submitNow("i1", api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i + 1), DataCentre: "a", Out: i%2 == 0})
+			c.submitWithoutPump("i1", api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i + 1), DataCentre: "a", Out: i%2 == 0})
 		}
 	})
-	c.until("changes at every replica", func() bool { return c.applied(301) })
+	c.pumpUntil("changes at every replica", func() bool { return c.allReplicasAt(301) })
 	for _, name := range c.names {
-		r := c.get(name).control.replica
-		r.bytes = 1 << 30 // a snapshot is due
-		c.is.NoErr(r.snapshot())
+		r := c.running(name).control.replica
+		r.bytesSinceSnapshot = 1 << 30 // a snapshot is due
+		c.is.NoErr(r.compactIfDue())
 		c.is.True(r.node.SnapshotIndex() > 300)
 	}
 	c.restartAll()
@@ -108,112 +109,114 @@
 	c.is.Equal(c.view("i0").Revision, uint64(301))
 }
 
-// TestLongIsolation guards against a replica that disturbs the group, or keeps
-// an old view, when it returns after changes and snapshots that it has missed.
+// TestLongIsolation guards against a replica that disrupts the group, or keeps an old
+// view, when it is reconnected after it has missed changes and a snapshot.
 func TestLongIsolation(t *testing.T) {
 	c := newCluster(t, 3, 1)
-	old := c.waitLeader()
+	oldLeader := c.waitLeader()
 	c.submit("i3", api.Submission{ChangeID: "doc", Config: document()})
-	c.isolate(old, false)
-	lost := c.background(old, api.Submission{ChangeID: "isolated", Base: 1, DataCentre: "b", Out: true})
-	r := c.get(old).control.replica
-	// No tick passes meanwhile: the call comes from another goroutine, and after
-	// 20 ticks without a quorum the old leader would refuse it.
-	c.serveUntil("proposal without a quorum", func() bool { return len(r.waiting) > 0 })
-	c.until("another leader", func() bool { return c.leader() != "" && c.get(old).control.Status().Role != "leader" })
-	c.is.Equal(len(r.waiting), 0) // the call tries elsewhere
+	c.isolate(oldLeader, false)
+	isolated := c.submitInBackground(oldLeader, api.Submission{ChangeID: "isolated", Base: 1, DataCentre: "b", Out: true})
+	r := c.running(oldLeader).control.replica
+	// No tick may pass here: the call comes from another goroutine, and after 20 ticks
+	// without a quorum the old leader would step down and refuse it.
+	c.drainUntil("proposal without a quorum", func() bool { return len(r.pendingByIndex) > 0 })
+	c.pumpUntil("another leader", func() bool { return c.leader() != "" && c.running(oldLeader).control.Status().Role != "leader" })
+	c.is.Equal(len(r.pendingByIndex), 0) // the call is retried at another replica
 	for i := range 20 {
 		c.submit("i3", api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i + 1), DataCentre: "a", Out: i%2 == 0})
 	}
 	l := c.leader()
-	r = c.get(l).control.replica
-	r.bytes, r.keep = 1<<30, 0
-	c.is.NoErr(r.snapshot())
+	r = c.running(l).control.replica
+	r.bytesSinceSnapshot, r.retainBytes = 1<<30, 0
+	c.is.NoErr(r.compactIfDue())
 	for range 500 {
 		c.pump()
 	}
-	term := c.get(l).control.Status().Term
-	c.isolate(old, true)
-	c.until("old leader caught up", func() bool { return c.view(old).Revision == 21 && c.get(old).control.replica.state.Revision() == 21 })
-	c.is.True(c.get(old).control.replica.node.SnapshotIndex() > 20) // by the snapshot
+	term := c.running(l).control.Status().Term
+	c.isolate(oldLeader, true)
+	c.pumpUntil("old leader caught up", func() bool {
+		return c.view(oldLeader).Revision == 21 && c.running(oldLeader).control.replica.state.Revision() == 21
+	})
+	c.is.True(c.running(oldLeader).control.replica.node.SnapshotIndex() > 20) // caught up by snapshot
 	c.is.Equal(c.leader(), l)
-	c.is.Equal(c.get(l).control.Status().Term, term)
-	c.is.Equal(c.await(lost), api.SubmitResult{Conflict: "0", Revision: 2}) // another change won meanwhile
+	c.is.Equal(c.running(l).control.Status().Term, term)
+	c.is.Equal(c.await(isolated), api.SubmitResult{Conflict: "0", Revision: 2}) // another change was accepted first
 }
 
-// TestDisksLost guards against a group that does not replace a lost disk by
-// itself, or that is not whole enough afterwards to lose a second one.
+// TestDisksLost guards against a group that does not replace the replica of a lost disk,
+// or that does not survive the loss of the next disk after that.
 func TestDisksLost(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.waitLeader()
 	c.submit("i3", api.Submission{ChangeID: "doc", Config: document()})
 	for round, name := range []string{"i2", "i0", "i1"} {
-		old := c.get(name).control.replica.id
+		old := c.running(name).control.replica.id
 		c.stop(name)
 		c.is.NoErr(os.RemoveAll(filepath.Join(c.dir, name)))
 		c.start(name)
-		id := c.get(name).control.replica.id
+		id := c.running(name).control.replica.id
 		c.is.True(id != old)
-		c.until("replacement", func() bool {
+		c.pumpUntil("replacement", func() bool {
 			l := c.leader()
 			if l == "" {
 				return false
 			}
-			m := c.get(l).control.replica.node.Members()
+			m := c.running(l).control.replica.node.Members()
 			return m.Voter(id) && !m.Has(old) && len(m.Voters) == 3
 		})
 		r := c.submit("i3", api.Submission{ChangeID: fmt.Sprint(round), Base: uint64(round + 1), DataCentre: "a", Out: round%2 == 0})
 		c.is.Equal(r, api.SubmitResult{Revision: uint64(round + 2)})
 	}
 	c.restartAll()
-	c.until("view after restart", func() bool { return c.holders(4) == 4 })
+	c.pumpUntil("view after restart", func() bool { return c.countInstancesAt(4) == 4 })
 }
 
-// TestDiskLostTwice guards against learners that pile up when a disk is lost
-// again before its replica votes.
+// TestDiskLostTwice guards against learners that accumulate when a disk is lost again
+// before its replica is promoted.
 func TestDiskLostTwice(t *testing.T) {
 	c := newCluster(t, 3, 0)
 	c.waitLeader()
-	c.until("two followers", func() bool { return c.holdersOfLog() == 3 })
-	name := "i2"
-	if c.leader() == name {
-		name = "i1"
+	c.pumpUntil("two followers", func() bool { return c.countReplicasInGroup() == 3 })
+	victim := "i2"
+	if c.leader() == victim {
+		victim = "i1"
 	}
-	members := func() consensus.Membership { return c.get(c.leader()).control.replica.node.Members() }
-	r := c.get(c.leader()).control.replica
-	r.join(joinParams{Identity: "first", Instance: name}, func(answer) {}) // of the disk that is lost again
+	members := func() consensus.Membership { return c.running(c.leader()).control.replica.node.Members() }
+	r := c.running(c.leader()).control.replica
+	r.join(joinParams{Identity: "first", Instance: victim}, func(callResult) {}) // the replica whose disk is lost next
 	c.is.Equal(len(members().Learners), 1)
-	c.stop(name)
-	c.is.NoErr(os.RemoveAll(filepath.Join(c.dir, name)))
-	c.start(name)
-	id := c.get(name).control.replica.id
-	c.until("replacement", func() bool { return c.leader() != "" && members().Voter(id) })
+	c.stop(victim)
+	c.is.NoErr(os.RemoveAll(filepath.Join(c.dir, victim)))
+	c.start(victim)
+	id := c.running(victim).control.replica.id
+	c.pumpUntil("replacement", func() bool { return c.leader() != "" && members().Voter(id) })
 	c.is.Equal(len(members().Voters), 3)
 	c.is.Equal(len(members().Learners), 0)
 }
 
-// applied reports whether every replica's state has a revision.
-func (c *cluster) applied(revision uint64) bool {
+// allReplicasAt reports whether every replica has applied at least a revision.
+func (c *cluster) allReplicasAt(revision uint64) bool {
 	for _, name := range c.names[:c.disks] {
-		if c.get(name).control.replica.state.Revision() < revision {
+		if c.running(name).control.replica.state.Revision() < revision {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *cluster) holdersOfLog() (n int) {
+// countReplicasInGroup counts the replicas that have received the log of a group.
+func (c *cluster) countReplicasInGroup() (n int) {
 	for _, name := range c.names {
-		if !c.get(name).control.replica.node.Empty() {
+		if !c.running(name).control.replica.node.Empty() {
 			n++
 		}
 	}
 	return n
 }
 
-// TestGrow guards against instances that get a disk later and stay outside the
-// group.
-func TestGrow(t *testing.T) {
+// TestDisksAdded guards against instances that get a disk later and do not become voters.
+func TestDisksAdded(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.waitLeader()
 	c.submit("i2", api.Submission{ChangeID: "doc", Config: document()})
@@ -224,16 +227,16 @@
 	for _, name := range c.names {
 		c.start(name)
 	}
-	c.until("three voters", func() bool {
+	c.pumpUntil("three voters", func() bool {
 		l := c.leader()
-		return l != "" && len(c.get(l).control.replica.node.Members().Voters) == 3
+		return l != "" && len(c.running(l).control.replica.node.Members().Voters) == 3
 	})
 	c.stop("i0")
 	c.is.Equal(c.submit("i2", api.Submission{ChangeID: "out", Base: 1, DataCentre: "a", Out: true}), api.SubmitResult{Revision: 2})
 }
 
-// TestLargeDocument guards against a document of the largest planned size that
-// does not pass the log, or whose snapshot does not reach a new replica.
+// TestLargeDocument guards against a document of the largest planned size that cannot be
+// replicated, or whose snapshot does not reach a new replica.
 func TestLargeDocument(t *testing.T) {
 	c := newCluster(t, 3, 0)
 	c.waitLeader()
@@ -247,12 +250,12 @@
 			Address: fmt.Sprintf("10.%d.%d.%d:80", i/62500, i/250%250, i%250), WarmCapacity: 2, ColdCapacity: 1})
 	}
 	c.is.Equal(c.submit("i0", api.Submission{ChangeID: "doc", Config: doc}), api.SubmitResult{Revision: 1})
-	c.until("document at every replica", func() bool { return c.applied(1) })
+	c.pumpUntil("document at every replica", func() bool { return c.allReplicasAt(1) })
 	for _, name := range c.names {
-		r := c.get(name).control.replica
-		r.bytes, r.keep = 1<<30, 0
-		c.is.NoErr(r.snapshot())
-		c.is.True(r.lastBytes > chunkBytes) // several chunks
+		r := c.running(name).control.replica
+		r.bytesSinceSnapshot, r.retainBytes = 1<<30, 0
+		c.is.NoErr(r.compactIfDue())
+		c.is.True(r.lastSnapshotBytes > snapshotChunkBytes) // sent in several chunks
 	}
 	lost := "i2"
 	if c.leader() == lost {
@@ -261,60 +264,60 @@
 	c.stop(lost)
 	c.is.NoErr(os.RemoveAll(filepath.Join(c.dir, lost)))
 	c.start(lost)
-	c.until("document at the new replica", func() bool { return c.get(lost).control.replica.state.Revision() == 1 })
+	c.pumpUntil("document at the new replica", func() bool { return c.running(lost).control.replica.state.Revision() == 1 })
 	c.is.Equal(len(c.view(lost).Config.Targets), 12000)
 }
 
-// TestOldDiskReturns guards against a replica that stays outside the group when
-// its instance gets back the disk that was replaced.
+// TestOldDiskReturns guards against a replica that does not rejoin the group when its
+// instance restarts with an old disk whose identity was removed.
 func TestOldDiskReturns(t *testing.T) {
 	c := newCluster(t, 3, 0)
 	c.waitLeader()
 	c.submit("i0", api.Submission{ChangeID: "doc", Config: document()})
 	dir, kept := filepath.Join(c.dir, "i1"), filepath.Join(c.dir, "kept")
-	id := c.get("i1").control.replica.id
+	id := c.running("i1").control.replica.id
 	voter := func(id string) bool {
 		l := c.leader()
-		return l != "" && c.get(l).control.replica.node.Members().Voter(id)
+		return l != "" && c.running(l).control.replica.node.Members().Voter(id)
 	}
 	c.stop("i1")
 	c.is.NoErr(os.Rename(dir, kept))
 	c.start("i1")
-	c.until("replacement", func() bool { return voter(c.get("i1").control.replica.id) && !voter(id) })
+	c.pumpUntil("replacement", func() bool { return voter(c.running("i1").control.replica.id) && !voter(id) })
 	c.stop("i1")
 	c.is.NoErr(os.RemoveAll(dir))
 	c.is.NoErr(os.Rename(kept, dir))
 	c.start("i1")
-	c.until("old identity is a voter again", func() bool { return voter(id) })
+	c.pumpUntil("old identity is a voter again", func() bool { return voter(id) })
 }
 
-// TestBootstrapWaits guards against two groups: one that forms while a disk
-// instance is away, and one that forms although a group has existed.
+// TestBootstrapWaits guards against bootstrapping a second group: while a disk instance
+// is unreachable, or after all disks of an existing group were lost.
 func TestBootstrapWaits(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.isolate("i2", false)
 	for range 10 {
-		c.join()
+		c.joinAll()
 	}
 	c.is.Equal(c.leader(), "")
 	c.isolate("i2", true)
 	c.waitLeader()
 	c.submit("i3", api.Submission{ChangeID: "doc", Config: document()})
-	c.until("view everywhere", func() bool { return c.holders(1) == 4 })
+	c.pumpUntil("view everywhere", func() bool { return c.countInstancesAt(1) == 4 })
 	for _, name := range c.names[:3] {
 		c.stop(name)
 		c.is.NoErr(os.RemoveAll(filepath.Join(c.dir, name)))
 		c.start(name)
 	}
 	for range 10 {
-		c.join() // i3 still holds revision 1
+		c.joinAll() // i3 still has revision 1
 	}
 	c.is.Equal(c.leader(), "")
 }
 
-// TestClaims guards against a keyed request that runs twice over a change of the
-// leader and a restart of everything.
-func TestClaims(t *testing.T) {
+// TestClaimsSurviveLeaderChange guards against a keyed request that runs twice, and an
+// order epoch that repeats, after a change of leader or a restart of all instances.
+func TestClaimsSurviveLeaderChange(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	l := c.waitLeader()
 	key := api.ClaimKey{Workspace: "w", Pool: "p", Key: "k"}
@@ -347,42 +350,42 @@
 	c.is.Equal(epochs, [2]uint64{1, 2})
 }
 
-// TestNoQuorum guards against a claim that is answered without a quorum, and
-// against a call that does not end with its context.
+// TestNoQuorum guards against a claim or read that succeeds without a quorum, and against
+// a call that does not end with its context.
 func TestNoQuorum(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.waitLeader()
 	c.stop("i0")
 	c.stop("i1")
-	c.during(func() {
+	c.pumpDuring(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
-		_, err := c.get("i3").control.Claim(ctx, api.ClaimKey{Key: "k"}, "h")
+		_, err := c.running("i3").control.Claim(ctx, api.ClaimKey{Key: "k"}, "h")
 		c.is.True(err != nil)
-		_, err = c.get("i3").control.ReadRevision(ctx)
+		_, err = c.running("i3").control.ReadRevision(ctx)
 		c.is.True(err != nil)
 	})
 }
 
-// TestMoves guards against a planned move that is not made at its times, or that
-// a change of the leader makes twice.
-func TestMoves(t *testing.T) {
+// TestPlannedMoves guards against steps of a planned move that are not made when due, or
+// that are made twice after a change of leader.
+func TestPlannedMoves(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	l := c.waitLeader()
 	doc := document()
 	doc.Moves = []fleetconfig.Move{{
 		Name: "m", DataCentre: "a",
-		OutAt: c.wall.Add(time.Hour).Format(time.RFC3339), BackAt: c.wall.Add(2 * time.Hour).Format(time.RFC3339),
+		OutAt: c.wallTime.Add(time.Hour).Format(time.RFC3339), BackAt: c.wallTime.Add(2 * time.Hour).Format(time.RFC3339),
 	}}
 	c.submit("i3", api.Submission{ChangeID: "doc", Config: doc})
-	c.advance(time.Hour)
-	c.until("out", func() bool { return c.holders(2) == 4 })
+	c.advanceWallClock(time.Hour)
+	c.pumpUntil("out", func() bool { return c.countInstancesAt(2) == 4 })
 	c.is.Equal(c.view("i3").Out, map[string]bool{"a": true})
 	c.stop(l)
-	c.advance(time.Hour)
-	c.until("back", func() bool { return c.holders(3) == 3 })
+	c.advanceWallClock(time.Hour)
+	c.pumpUntil("back", func() bool { return c.countInstancesAt(3) == 3 })
 	c.start(l)
-	c.until("back at the old leader", func() bool { return c.holders(3) == 4 })
+	c.pumpUntil("back at the old leader", func() bool { return c.countInstancesAt(3) == 4 })
 	c.is.Equal(len(c.view(l).Out), 0)
 	for range 50 {
 		c.pump()
@@ -390,21 +393,22 @@
 	c.is.Equal(c.view("i3").Revision, uint64(3))
 }
 
-// TestDrain guards against a planned stop that leaves the group leaderless.
-func TestDrain(t *testing.T) {
+// TestDrainTransfersLeadership guards against a planned stop that leaves the group without
+// a leader.
+func TestDrainTransfersLeadership(t *testing.T) {
 	c := newCluster(t, 3, 0)
 	l := c.waitLeader()
-	c.during(func() { c.is.NoErr(c.get(l).control.Drain(context.Background())) })
-	c.until("the new leader", func() bool { return c.leader() != "" && c.leader() != l }) // while the old one runs
+	c.pumpDuring(func() { c.is.NoErr(c.running(l).control.Drain(context.Background())) })
+	c.pumpUntil("the new leader", func() bool { return c.leader() != "" && c.leader() != l }) // the old leader still runs
 }
 
-// TestDamagedDisk guards against a start on a log that has lost entries.
+// TestDamagedDisk guards against a start from a damaged log, which would lose entries.
 func TestDamagedDisk(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	c.waitLeader()
 	c.submit("i0", api.Submission{ChangeID: "doc", Config: document()})
 	c.stop("i0")
-	path := filepath.Join(c.dir, "i0", folder, "log")
+	path := filepath.Join(c.dir, "i0", logFolderName, "log")
 	raw, err := os.ReadFile(path)
 	c.is.NoErr(err)
 	raw[len(raw)/2] ^= 1
@@ -414,15 +418,15 @@
 	c.is.True(err != nil)
 }
 
-// TestMalformedMessages guards against messages that stop an instance.
+// TestMalformedMessages guards against malformed messages that stop an instance.
 func TestMalformedMessages(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
 	c.waitLeader()
 	for _, name := range c.names {
-		for method, h := range c.get(name).handlers {
+		for method, h := range c.running(name).handlers {
 			for _, params := range []string{``, `{`, `"%%"`, `"AAAA"`, `[]`} {
-				c.during(func() {
+				c.pumpDuring(func() {
 					ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 					defer cancel()
 					res, err := h(ctx, "i1", json.RawMessage(params))
@@ -435,40 +439,42 @@
 	is.Equal(c.submit("i1", api.Submission{ChangeID: "doc", Config: document()}), api.SubmitResult{Revision: 1})
 }
 
-func (c *cluster) advance(d time.Duration) {
+func (c *cluster) advanceWallClock(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wall = c.wall.Add(d)
+	c.wallTime = c.wallTime.Add(d)
 }
 
-// submitNow submits without pumping.
-func (c *cluster) submitNow(at string, s api.Submission) api.SubmitResult {
+// submitWithoutPump submits a change through an instance; the caller or another
+// goroutine must call pump.
+func (c *cluster) submitWithoutPump(at string, s api.Submission) api.SubmitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := c.get(at).control.Submit(ctx, s)
+	r, err := c.running(at).control.Submit(ctx, s)
 	if err != nil {
 		c.t.Error(err)
 	}
 	return r
 }
 
-func (c *cluster) background(at string, s api.Submission) chan api.SubmitResult {
+func (c *cluster) submitInBackground(at string, s api.Submission) chan api.SubmitResult {
 	done := make(chan api.SubmitResult, 1)
-	go func() { done <- c.submitNow(at, s) }()
+	go func() { done <- c.submitWithoutPump(at, s) }()
 	return done
 }
 
 func (c *cluster) await(done chan api.SubmitResult) (r api.SubmitResult) {
-	c.during(func() { r = <-done })
+	c.pumpDuring(func() { r = <-done })
 	return r
 }
 
-// call runs a call while all replicas run.
+// call runs a call on an instance while pump drives the replicas, and fails the test on
+// an error.
 func (c *cluster) call(at string, f func(context.Context, *Control) error) {
 	c.t.Helper()
 	var err error
-	ctl := c.get(at).control
-	c.during(func() {
+	ctl := c.running(at).control
+	c.pumpDuring(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		err = f(ctx, ctl)
--- a/plugin/control/members.go
+++ b/plugin/control/members.go
@@ -9,94 +9,102 @@
 )
 
 const (
-	// joinInterval is how often an instance looks whether its replica needs a group.
-	joinInterval = 500 * time.Millisecond
-	// probeLimit bounds one question to another replica.
-	probeLimit = time.Second
-	// caughtUpEntries is the lag at which a learner may become a voter.
-	caughtUpEntries = 64
+	// listedJoinInterval is the interval of joinGroup in a fleet whose instances are
+	// listed in the settings.
+	listedJoinInterval = 500 * time.Millisecond
+	// probeTimeout bounds a probe of another replica, and a request to join.
+	probeTimeout = time.Second
+	// maxLearnerLag is the largest lag, in entries, at which a learner may be promoted.
+	maxLearnerLag = 64
 )
 
-// probeReply describes a replica to others.
+// probeReply describes a replica in reply to a probe. Empty reports that it has
+// never belonged to a group.
 type probeReply struct {
 	Identity string `json:"identity"`
 	Empty    bool   `json:"empty"`
 }
 
-// joinParams asks the leader to add a replica.
+// joinParams are the parameters of a request to add a replica to the group.
 type joinParams struct {
 	Identity string `json:"identity"`
 	Instance string `json:"instance"`
 }
 
+// probe describes the replica. One with a failed disk does not count as empty.
 func (r *replica) probe() probeReply {
-	return probeReply{Identity: r.id, Empty: r.node.Empty() && !r.failed}
+	return probeReply{Identity: r.id, Empty: r.node.Empty() && !r.diskFailed}
 }
 
-// joinGroup forms a new group or joins the existing one if the replica has none.
+// joinGroup bootstraps a group or requests to join the existing one if the replica is
+// empty or has had no leader for rejoinTicks. It does nothing otherwise.
 func (c *Control) joinGroup(ctx context.Context) {
-	a := c.inLoop(ctx, func(r *replica, done func(answer)) {
-		done(answer{probe: r.probe(), silent: r.node.SilentTicks(), failed: r.failed})
+	res := c.runOnReplica(ctx, func(r *replica, done func(callResult)) {
+		done(callResult{probe: r.probe(), silentTicks: r.node.SilentTicks(), diskFailed: r.diskFailed})
 	})
-	self := a.probe
-	if a.err != nil || a.failed || (!self.Empty && a.silent < c.pace().stranger) {
+	self := res.probe
+	if res.err != nil || res.diskFailed || (!self.Empty && res.silentTicks < c.timing().rejoinTicks) {
 		return
 	}
-	if c.members != nil {
+	if c.topology != nil {
 		c.joinDiscovered(ctx, self)
 		return
 	}
-	found, all, fresh := c.probeOthers(ctx, self, c.replicas)
+	replicas, allReplied, allEmpty := c.probeReplicas(ctx, self, c.diskInstances)
 	switch {
-	case self.Empty && all && fresh:
-		c.bootstrap(ctx, found)
-	case !fresh || !self.Empty:
-		ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	case self.Empty && allReplied && allEmpty:
+		c.bootstrap(ctx, replicas)
+	case !allEmpty || !self.Empty:
+		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		_ = c.ask(ctx, methodJoin, joinParams{Identity: self.Identity, Instance: c.mesh.Self()}, nil)
+		_ = c.callLeader(ctx, methodJoin, joinParams{Identity: self.Identity, Instance: c.mesh.Self()}, nil)
 	}
 }
 
-// probeOthers asks all other replicas. All reports that each answered, fresh that
-// no answer came from a replica that belongs to a group.
-func (c *Control) probeOthers(ctx context.Context, self probeReply, names []string) (found []consensus.Member, all, fresh bool) {
-	all, fresh = true, true
+// probeReplicas probes the replicas on the named instances and returns those that
+// replied, including itself. allReplied reports whether every one replied, allEmpty
+// whether no reply came from a replica that has belonged to a group.
+func (c *Control) probeReplicas(ctx context.Context, self probeReply, names []string) (replicas []consensus.Member, allReplied, allEmpty bool) {
+	allReplied, allEmpty = true, true
 	for _, name := range names {
 		if name == c.mesh.Self() {
-			found = append(found, consensus.Member{ID: self.Identity, Instance: name})
+			replicas = append(replicas, consensus.Member{ID: self.Identity, Instance: name})
 			continue
 		}
 		var p probeReply
-		pctx, cancel := context.WithTimeout(ctx, probeLimit)
+		pctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		err := c.mesh.Call(pctx, name, methodProbe, struct{}{}, &p)
 		cancel()
 		if err != nil {
-			all = false
+			allReplied = false
 			continue
 		}
-		fresh = fresh && p.Empty
-		found = append(found, consensus.Member{ID: p.Identity, Instance: name})
+		allEmpty = allEmpty && p.Empty
+		replicas = append(replicas, consensus.Member{ID: p.Identity, Instance: name})
 	}
-	return found, all, fresh
+	return replicas, allReplied, allEmpty
 }
 
-// bootstrap forms the group if this is the replica with the lowest name. It does
-// not if an instance has a view: then a group has existed and all its disks are
-// lost, and a new one would begin below the revisions in use.
+// bootstrap forms the group if this instance is the first of the voters, which are
+// sorted by name. It refuses if any instance has a view: then a group has existed and
+// all its disks are lost, and the revisions of a new group would start below those in
+// use.
 func (c *Control) bootstrap(ctx context.Context, voters []consensus.Member) {
 	if voters[0].Instance != c.mesh.Self() {
 		return
 	}
-	if c.newestView() > 0 {
-		c.kernel.Log.Error("no new group: all disks are empty, but instances hold a view", "step", "bootstrap", "revision", c.newestView())
+	if c.newestRevision() > 0 {
+		c.kernel.Log.Error("bootstrap refused: all disks are empty, but an instance has a view", "step", "bootstrap", "revision", c.newestRevision())
 		return
 	}
-	c.inLoop(ctx, func(r *replica, done func(answer)) {
-		done(answer{err: r.bootstrap(voters)})
+	c.runOnReplica(ctx, func(r *replica, done func(callResult)) {
+		done(callResult{err: r.bootstrap(voters)})
 	})
 }
 
-func (c *Control) newestView() uint64 {
+// newestRevision returns the highest view revision known on any instance, or only
+// the own one if instances are discovered.
+func (c *Control) newestRevision() uint64 {
 	newest := c.fleet.View().Revision
 	if c.lease == nil {
 		return newest
@@ -107,7 +115,8 @@
 	return newest
 }
 
-// bootstrap starts the group on an empty disk.
+// bootstrap writes the first snapshot, with the given voters, to an empty disk and
+// starts the node from it. It does nothing if the replica is not empty.
 func (r *replica) bootstrap(voters []consensus.Member) error {
 	if !r.node.Empty() {
 		return nil
@@ -118,45 +127,47 @@
 	if err := r.log.SaveSnapshot(s, hard, nil); err != nil {
 		return err
 	}
-	r.node = consensus.New(r.config(), hard, s, nil)
+	r.node = consensus.New(r.nodeConfig(), hard, s, nil)
 	r.applied = s.Index
-	r.event("bootstrap", "")
+	r.recordEvent("bootstrap", "")
 	return nil
 }
 
-// join adds a replica as a learner. An older learner of the same instance, whose
-// disk is gone, leaves first.
-func (r *replica) join(p joinParams, done func(answer)) {
+// join proposes to add a replica as a learner. An older learner of the same instance,
+// whose disk is lost, is removed first.
+func (r *replica) join(p joinParams, done func(callResult)) {
 	m := r.node.Members()
-	if r.node.Role() != consensus.Leader || !r.c.mayJoin(p.Instance) {
-		done(answer{err: errRetry})
+	if r.node.Role() != consensus.Leader || !r.c.mayHoldReplica(p.Instance) {
+		done(callResult{err: errRetry})
 		return
 	}
 	if m.Has(p.Identity) {
-		done(answer{})
+		done(callResult{})
 		return
 	}
 	change := consensus.Change{Kind: consensus.AddLearner, Member: consensus.Member{ID: p.Identity, Instance: p.Instance}}
 	if old := slices.IndexFunc(m.Learners, sameInstance(p.Instance)); old >= 0 {
 		change = consensus.Change{Kind: consensus.Remove, Member: m.Learners[old]}
 	}
-	r.change(change)
-	done(answer{err: errRetry}) // answered when the replica asks again
+	r.proposeChange(change)
+	done(callResult{err: errRetry}) // the retry finds the replica among the members
 }
 
+// sameInstance returns a predicate for the members on an instance.
 func sameInstance(name string) func(consensus.Member) bool {
 	return func(m consensus.Member) bool { return m.Instance == name }
 }
 
-// maintainMembers makes learners that have caught up voters, after their former
-// identity has left. One change at a time keeps quorums intersecting.
+// maintainMembers promotes learners that have caught up, after it has removed the
+// former voter of the same instance. Only one change is made at a time, so that the
+// quorums before and after it overlap.
 func (r *replica) maintainMembers() {
-	if r.ticks%r.c.pace().members != 0 {
+	if r.ticks%r.c.timing().membershipTicks != 0 {
 		return
 	}
 	m := r.node.Members()
-	if r.c.members != nil {
-		r.maintainDiscovered(m)
+	if r.c.topology != nil {
+		r.maintainDiscoveredMembers(m)
 		return
 	}
 	for _, l := range m.Learners {
@@ -164,28 +175,32 @@
 			continue
 		}
 		if old := slices.IndexFunc(m.Voters, sameInstance(l.Instance)); old >= 0 {
-			r.change(consensus.Change{Kind: consensus.Remove, Member: m.Voters[old]})
+			r.proposeChange(consensus.Change{Kind: consensus.Remove, Member: m.Voters[old]})
 		} else {
-			r.change(consensus.Change{Kind: consensus.Promote, Member: l})
+			r.proposeChange(consensus.Change{Kind: consensus.Promote, Member: l})
 		}
 		return
 	}
 }
 
-// caughtUp reports whether a learner may become a voter.
+// caughtUp reports whether a learner may be promoted: it lags by at most
+// maxLearnerLag entries, has the leader's snapshot and responds.
 func (r *replica) caughtUp(l consensus.Member) bool {
 	match, silent, ok := r.node.Progress(l.ID)
-	return ok && match+caughtUpEntries >= r.node.Last() && match >= r.node.SnapshotIndex() &&
-		silent <= uint64(r.c.pace().election)
+	return ok && match+maxLearnerLag >= r.node.Last() && match >= r.node.SnapshotIndex() &&
+		silent <= uint64(r.c.timing().electionTicks)
 }
 
-var changeNames = map[consensus.ChangeKind]string{
+// changeSteps are the event steps of membership changes.
+var changeSteps = map[consensus.ChangeKind]string{
 	consensus.AddLearner: "add-learner", consensus.Promote: "promote", consensus.Remove: "remove",
 }
 
-func (r *replica) change(ch consensus.Change) {
+// proposeChange proposes a membership change. A change that the node refuses is
+// dropped; maintenance and join requests propose it again.
+func (r *replica) proposeChange(ch consensus.Change) {
 	if r.node.ProposeChange(ch) == nil {
 		r.c.metrics.memberships.Inc()
-		r.event(changeNames[ch.Kind], ch.Member.Instance)
+		r.recordEvent(changeSteps[ch.Kind], ch.Member.Instance)
 	}
 }
--- a/plugin/control/metrics.go
+++ b/plugin/control/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// counters are the plug-in's metrics.
+// counters are the plug-in's metrics, nutmeg_control_*_total.
 type counters struct {
 	proposed, applied, syncs, snapshots *metrics.Counter
 	sent, unsent, received, malformed   *metrics.Counter
--- a/plugin/control/pack.go
+++ b/plugin/control/pack.go
@@ -9,28 +9,29 @@
 	"github.com/pkg/errors"
 )
 
-// Messages of the log are mostly text: commands in JSON with recurring names.
-// The claims of keyed calls make up most of the control traffic, so messages
-// that carry entries are compressed.
+// Wire format of a Raft message: one byte for the compression, then the encoded
+// message. Entries are mostly JSON with recurring names, and claims of keyed requests
+// make up most of the control traffic, so messages that carry entries are compressed.
 const (
 	packPlain    = 0
 	packDeflated = 1
-	// packAbove is the size above which a message is compressed. Heartbeats stay
-	// below and would not shrink.
-	packAbove = 128 // bytes
-	// unpackedLimit bounds a message after decompression; it exceeds the largest
-	// message of the log.
-	unpackedLimit = 16 << 20 // bytes
+	// compressAboveBytes is the size above which a message is compressed. Heartbeats
+	// are smaller and would not shrink.
+	compressAboveBytes = 128
+	// maxUnpackedBytes bounds a message after decompression. It exceeds the largest
+	// Raft message.
+	maxUnpackedBytes = 16 << 20
 )
 
-var deflaters = sync.Pool{New: func() any {
+var deflateWriters = sync.Pool{New: func() any {
 	w, _ := flate.NewWriter(nil, flate.BestSpeed) // fails only on an invalid level
 	return w
 }}
 
-// pack returns the wire form of an encoded message.
+// pack returns the wire format of an encoded message, compressed if it is large
+// enough and shrinks.
 func pack(raw []byte) []byte {
-	if len(raw) > packAbove {
+	if len(raw) > compressAboveBytes {
 		if out := deflate(raw); len(out) < len(raw) {
 			return out
 		}
@@ -41,15 +42,16 @@
 func deflate(raw []byte) []byte {
 	out := bytes.NewBuffer(make([]byte, 0, len(raw)))
 	out.WriteByte(packDeflated)
-	w := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(w)
+	w := deflateWriters.Get().(*flate.Writer)
+	defer deflateWriters.Put(w)
 	w.Reset(out)
 	_, _ = w.Write(raw) // a buffer accepts all writes
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpack returns the encoded message of a wire form.
+// unpack returns the encoded message from its wire format. It fails on an unknown
+// compression, damaged data, or more than maxUnpackedBytes after decompression.
 func unpack(wire []byte) ([]byte, error) {
 	if len(wire) == 0 {
 		return nil, errors.New("empty message")
@@ -58,9 +60,9 @@
 	case packPlain:
 		return wire[1:], nil
 	case packDeflated:
-		raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(wire[1:])), unpackedLimit+1))
-		if err == nil && len(raw) > unpackedLimit {
-			err = errors.Errorf("message is larger than %d bytes", unpackedLimit)
+		raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(wire[1:])), maxUnpackedBytes+1))
+		if err == nil && len(raw) > maxUnpackedBytes {
+			err = errors.Errorf("message is larger than %d bytes", maxUnpackedBytes)
 		}
 		return raw, errors.WithMessage(err, "decompress")
 	}
--- a/plugin/control/pack_test.go
+++ b/plugin/control/pack_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a message that changes on its way, and against a small one
-// that decompresses without bound.
+// TestPack guards against a message that changes when it is packed and unpacked, and
+// against a small message that decompresses without bound.
 func TestPack(t *testing.T) {
 	is := is.New(t)
 	for _, raw := range [][]byte{{}, {1}, bytes.Repeat([]byte("workspace "), 100), []byte("\x00\xff\x01")} {
@@ -17,18 +17,19 @@
 		is.True(bytes.Equal(got, raw))
 	}
 	is.True(len(pack(bytes.Repeat([]byte("workspace "), 100))) < 100)
-	for _, wire := range [][]byte{nil, {7}, {packDeflated, 0xff}, deflate(make([]byte, unpackedLimit+1))} {
+	for _, wire := range [][]byte{nil, {7}, {packDeflated, 0xff}, deflate(make([]byte, maxUnpackedBytes+1))} {
 		_, err := unpack(wire)
 		is.True(err != nil) // malformed or too large
 	}
 }
 
-// Guards against a panic on arbitrary bytes from a peer.
+// FuzzUnpack guards against a panic, or an unbounded result, on arbitrary bytes from a
+// peer.
 func FuzzUnpack(f *testing.F) {
 	f.Add(pack([]byte("x")))
 	f.Add(deflate([]byte("some text")))
 	f.Fuzz(func(t *testing.T, wire []byte) {
-		if raw, err := unpack(wire); err == nil && len(raw) > unpackedLimit {
+		if raw, err := unpack(wire); err == nil && len(raw) > maxUnpackedBytes {
 			t.Fatal("larger than the limit")
 		}
 	})
--- a/plugin/control/propose.go
+++ b/plugin/control/propose.go
@@ -10,121 +10,131 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// maxCommandBytes bounds a log entry, so that a message with it stays within the
-// frame limit of a link after encoding as text.
+// maxCommandBytes bounds a log entry, so that a message that carries it stays within
+// the frame limit of a link after it is encoded as text.
 const maxCommandBytes = 8 << 20
 
-// maxHistory bounds the history that one read returns.
-const maxHistory = 1000
+// maxHistoryEntries bounds the history that one read returns, in changes.
+const maxHistoryEntries = 1000
 
-// errRetry tells the caller to try again, on another replica if it knows one.
+// errRetry makes a reply ask the caller to retry, at the leader if it is known.
 var errRetry = errors.New("control: no leader here")
 
-// inLoop runs f on the replica's goroutine and waits for its answer.
-func (c *Control) inLoop(ctx context.Context, f func(r *replica, done func(answer))) answer {
-	ch := make(chan answer, 1)
-	done := func(a answer) {
+// runOnReplica runs f on the replica's goroutine and waits for the result that it
+// passes to done, at once or later. It returns errRetry if the ring of calls is full,
+// and the error of ctx when that ends first.
+func (c *Control) runOnReplica(ctx context.Context, f func(r *replica, done func(callResult))) callResult {
+	ch := make(chan callResult, 1)
+	done := func(res callResult) {
 		select {
-		case ch <- a:
+		case ch <- res:
 		default:
 		}
 	}
 	if !c.calls.Push(func(r *replica) { f(r, done) }) {
-		return answer{err: errRetry}
+		return callResult{err: errRetry}
 	}
 	select {
-	case a := <-ch:
-		return a
+	case res := <-ch:
+		return res
 	case <-ctx.Done():
-		return answer{err: ctx.Err()}
+		return callResult{err: ctx.Err()}
 	}
 }
 
-// propose appends a command to the log, unless an earlier copy of it is under
-// way. The time of the entry is the leader's.
-func (r *replica) propose(cmd fleetstate.Command, done func(answer)) {
-	if p, ok := r.proposed[cmd.ID]; ok {
-		p.done = append(p.done, done)
+// propose proposes a command and calls done when it has been applied. If a command
+// with the same id is pending, done waits for that one. The command carries the
+// leader's wall clock time.
+func (r *replica) propose(cmd fleetstate.Command, done func(callResult)) {
+	if p, ok := r.pendingByID[cmd.ID]; ok {
+		p.callbacks = append(p.callbacks, done)
 		return
 	}
-	cmd.UnixMs = r.c.wall().UnixMilli()
+	cmd.UnixMs = r.c.wallClock().UnixMilli()
 	data, err := cmd.Encode()
 	if err == nil && len(data) > maxCommandBytes {
 		err = errors.Errorf("control: command has %d bytes, the limit is %d", len(data), maxCommandBytes)
 	}
 	if err != nil {
-		done(answer{err: err})
+		done(callResult{err: err})
 		return
 	}
 	index, term, err := r.node.Propose(data)
 	if err != nil {
-		done(answer{err: errRetry})
+		done(callResult{err: errRetry})
 		return
 	}
 	r.c.metrics.proposed.Inc()
-	if old, ok := r.waiting[index]; ok {
-		r.forget(index, old)
-		old.answer(answer{err: errRetry})
+	if replaced, ok := r.pendingByIndex[index]; ok {
+		r.removePending(index, replaced)
+		replaced.complete(callResult{err: errRetry})
 	}
-	p := &pending{id: cmd.ID, term: term, done: []func(answer){done}}
-	r.waiting[index], r.proposed[cmd.ID] = p, p
+	p := &pending{id: cmd.ID, term: term, callbacks: []func(callResult){done}}
+	r.pendingByIndex[index], r.pendingByID[cmd.ID] = p, p
 }
 
-// known answers a resend of a change that has a result, or joins it to its first
-// copy while that is under way. A stored result is committed, so no quorum needs
-// to confirm it. Otherwise it answers without a result.
-func (r *replica) known(id string, done func(answer)) {
+// findChange handles a retry of a change that was submitted before. It completes done
+// with the stored result, which is committed and needs no quorum; or adds done to the
+// pending proposal. For a new change it completes done without a result on the leader,
+// and with errRetry elsewhere.
+func (r *replica) findChange(id string, done func(callResult)) {
 	if stored, ok := r.state.Change(id); ok {
-		done(answer{result: fleetstate.Result{Submit: &stored}})
+		done(callResult{result: fleetstate.Result{Submit: &stored}})
 		return
 	}
-	if p, ok := r.proposed[id]; ok {
-		p.done = append(p.done, done)
+	if p, ok := r.pendingByID[id]; ok {
+		p.callbacks = append(p.callbacks, done)
 		return
 	}
 	if r.node.Role() != consensus.Leader {
-		done(answer{err: errRetry})
+		done(callResult{err: errRetry})
 		return
 	}
-	done(answer{})
+	done(callResult{})
 }
 
-// read answers with the state that a quorum confirms.
-func (r *replica) read(done func(answer)) {
-	r.nextRead++
-	if r.node.ReadIndex(r.nextRead) != nil {
-		done(answer{err: errRetry})
+// readIndex calls done with the state after a quorum has confirmed the leader (a
+// linearizable read).
+func (r *replica) readIndex(done func(callResult)) {
+	r.lastReadID++
+	if r.node.ReadIndex(r.lastReadID) != nil {
+		done(callResult{err: errRetry})
 		return
 	}
-	r.reads[r.nextRead] = done
+	r.pendingReads[r.lastReadID] = done
 }
 
-func (r *replica) handOver() answer {
-	leads := r.node.Role() == consensus.Leader && r.node.Transfer()
-	return answer{leads: leads}
+// transferLeadership starts or continues a transfer of leadership to another voter.
+// The result reports whether the replica still leads and a voter can take over.
+func (r *replica) transferLeadership() callResult {
+	transferring := r.node.Role() == consensus.Leader && r.node.Transfer()
+	return callResult{transferring: transferring}
 }
 
-// moveTicks is the interval at which the leader looks for due steps of moves.
-const moveTicks = 4
+// moveIntervalTicks is the interval at which the leader checks for due steps of
+// planned moves.
+const moveIntervalTicks = 4
 
-// moves proposes the steps of planned moves that are due.
-func (r *replica) moves() {
-	if r.ticks%moveTicks != 0 {
+// proposeMoves proposes the due steps of planned moves.
+func (r *replica) proposeMoves() {
+	if r.ticks%moveIntervalTicks != 0 {
 		return
 	}
-	for _, step := range r.state.Due(r.c.wall().UnixMilli()) {
-		r.propose(fleetstate.Command{ID: r.c.ids.next(), Move: &step}, func(a answer) { r.noteMove(step, a) })
+	for _, step := range r.state.Due(r.c.wallClock().UnixMilli()) {
+		r.propose(fleetstate.Command{ID: r.c.ids.next(), Move: &step}, func(res callResult) { r.recordMove(step, res) })
 	}
 }
 
-func (r *replica) noteMove(step fleetstate.MoveStep, a answer) {
-	if a.err != nil || a.result.Move == fleetstate.MoveNone {
+// recordMove records an event for a step of a planned move that was applied, and logs
+// a step that was skipped.
+func (r *replica) recordMove(step fleetstate.MoveStep, res callResult) {
+	if res.err != nil || res.result.Move == fleetstate.MoveNone {
 		return
 	}
 	r.c.kernel.Events.Record(kernel.Event{
-		Kind: "move", Step: string(a.result.Move), Detail: step.Move, Revision: r.state.Revision(),
+		Kind: "move", Step: string(res.result.Move), Detail: step.Move, Revision: r.state.Revision(),
 	})
-	if a.result.Move == fleetstate.MoveSkipped {
+	if res.result.Move == fleetstate.MoveSkipped {
 		r.c.kernel.Log.Warn("move skipped: a pool would have no target left", "step", "move", "move", step.Move)
 	}
 }
--- a/plugin/control/replica.go
+++ b/plugin/control/replica.go
@@ -15,60 +15,64 @@
 	"nutmegrouter/internal/wal"
 )
 
-// Bounds of messages and of the log, in bytes.
+// Sizes of messages and of the log, in bytes.
 const (
+	// maxAppendBytes bounds the entries in one append message.
 	maxAppendBytes = 1 << 20
-	chunkBytes     = 1 << 20
-	// keepBytes of entries stay in memory after a snapshot, so that a follower
-	// that lags a little needs no snapshot.
-	keepBytes = 1 << 20
-	// A snapshot is taken after this many bytes of entries, or after twice the
-	// size of the last snapshot if that is more, so that the work of snapshots
-	// stays in proportion to the work of the log.
-	snapshotBytes = 4 << 20
-	// entryBytes is counted for each entry besides its data.
-	entryBytes = 256
+	// snapshotChunkBytes is the size of the chunks in which a snapshot is sent.
+	snapshotChunkBytes = 1 << 20
+	// retainedLogBytes of entries stay in memory after a snapshot, so that a slightly
+	// lagging follower needs no snapshot.
+	retainedLogBytes = 1 << 20
+	// minSnapshotIntervalBytes is the size of the applied entries after which a
+	// snapshot is due, or twice the size of the last snapshot if that is more. This
+	// keeps the cost of snapshots proportional to that of the log.
+	minSnapshotIntervalBytes = 4 << 20
+	// entryOverheadBytes is counted for each entry in addition to its data.
+	entryOverheadBytes = 256
 )
 
-// received is a message with the instance that sent it.
-type received struct {
+// receivedMessage is a Raft message and the name of the instance that sent it.
+type receivedMessage struct {
 	from string
 	msg  consensus.Message
 }
 
-// answer is what the replica's goroutine returns to a call.
-type answer struct {
-	result fleetstate.Result
-	state  readState
-	probe  probeReply
-	silent uint64 // ticks since a leader was heard
-	leads  bool
-	failed bool // the disk has refused a write
-	err    error
+// callResult is the result of a call that runs on the replica's goroutine. Each call
+// sets only the fields that belong to it.
+type callResult struct {
+	result       fleetstate.Result
+	state        readState
+	probe        probeReply
+	silentTicks  uint64 // ticks since a leader was last known
+	transferring bool   // a transfer of leadership is in progress
+	diskFailed   bool   // a write to the disk has failed
+	err          error
 }
 
-// readState is a copy of what reads return.
+// readState is the state that linearizable reads return.
 type readState struct {
 	revision uint64
 	view     *api.View
 	history  []api.HistoryEntry
 }
 
-// pending is a proposal that waits to be applied, with the calls that wait for it.
+// pending is a proposal that is not applied yet, with the callbacks of the calls that
+// wait for it.
 type pending struct {
-	id   string
-	term uint64
-	done []func(answer)
+	id        string
+	term      uint64
+	callbacks []func(callResult)
 }
 
-func (p *pending) answer(a answer) {
-	for _, done := range p.done {
-		done(a)
+func (p *pending) complete(res callResult) {
+	for _, done := range p.callbacks {
+		done(res)
 	}
 }
 
-// replica runs the consensus node on a data folder. Only one goroutine uses it,
-// except for status.
+// replica runs a consensus node on a log folder. Only the goroutine of runReplica
+// uses it, except for status, which any goroutine may load.
 type replica struct {
 	c     *Control
 	log   *wal.Log
@@ -76,87 +80,94 @@
 	state *fleetstate.State
 	id    string
 
-	instances map[string]string   // identity -> instance, from received messages
-	waiting   map[uint64]*pending // by index
-	proposed  map[string]*pending // by command id
-	reads     map[uint64]func(answer)
-	nextRead  uint64
-	role      consensus.Role
-	leader    string
-	members   uint64 // number of voters and learners last reported
-	applied   uint64
-	bytes     int // applied since the last snapshot
-	lastBytes int // size of the last snapshot
-	keep      int // bytes of entries kept in memory before a snapshot
-	ticks     uint64
-	failed    bool // the disk has refused a write; the node is not in use
-	status    atomic.Pointer[api.ControlStatus]
+	instanceByID       map[string]string   // identity -> instance, from received messages
+	pendingByIndex     map[uint64]*pending // proposals by log index
+	pendingByID        map[string]*pending // proposals by command id
+	pendingReads       map[uint64]func(callResult)
+	lastReadID         uint64
+	reportedRole       consensus.Role
+	reportedLeader     string
+	reportedMembers    uint64 // as packed by memberCounts
+	applied            uint64 // index of the last applied entry
+	bytesSinceSnapshot int    // of entries applied since the last snapshot
+	lastSnapshotBytes  int    // of state machine data
+	retainBytes        int    // of entries before the snapshot that stay in memory; tests change it
+	ticks              uint64
+	diskFailed         bool // a write has failed; the node is empty until the log is reopened
+	status             atomic.Pointer[api.ControlStatus]
 }
 
 func newReplica(c *Control, log *wal.Log, st *wal.State) (*replica, error) {
 	r := &replica{
-		c: c, instances: map[string]string{}, waiting: map[uint64]*pending{},
-		proposed: map[string]*pending{}, reads: map[uint64]func(answer){}, keep: keepBytes,
+		c: c, instanceByID: map[string]string{}, pendingByIndex: map[uint64]*pending{},
+		pendingByID: map[string]*pending{}, pendingReads: map[uint64]func(callResult){}, retainBytes: retainedLogBytes,
 	}
 	return r, r.load(log, st)
 }
 
-// load starts the node from what the disk holds.
+// load restores the state machine and starts the node from an opened log.
 func (r *replica) load(log *wal.Log, st *wal.State) error {
 	state, err := fleetstate.Restore(st.Snapshot.Data)
 	if err != nil {
 		return err
 	}
-	r.log, r.state, r.id, r.failed = log, state, st.Identity, false
-	r.applied, r.bytes, r.lastBytes = st.Snapshot.Index, 0, len(st.Snapshot.Data)
-	r.node = consensus.New(r.config(), st.Hard, st.Snapshot, st.Entries)
-	r.install()
-	r.publish()
+	r.log, r.state, r.id, r.diskFailed = log, state, st.Identity, false
+	r.applied, r.bytesSinceSnapshot, r.lastSnapshotBytes = st.Snapshot.Index, 0, len(st.Snapshot.Data)
+	r.node = consensus.New(r.nodeConfig(), st.Hard, st.Snapshot, st.Entries)
+	r.installView()
+	r.publishStatus()
 	return nil
 }
 
-func (r *replica) config() consensus.Config {
+func (r *replica) nodeConfig() consensus.Config {
 	return consensus.Config{
-		ID: r.id, ElectionTicks: r.c.pace().election, FirstTicks: r.c.pace().first, HeartbeatTicks: r.c.pace().heartbeat,
-		MaxAppendBytes: maxAppendBytes, ChunkBytes: chunkBytes, Random: rand.IntN,
+		ID: r.id, ElectionTicks: r.c.timing().electionTicks,
+		FirstTicks: r.c.timing().firstElectionTicks, HeartbeatTicks: r.c.timing().heartbeatTicks,
+		MaxAppendBytes: maxAppendBytes, ChunkBytes: snapshotChunkBytes, Random: rand.IntN,
 	}
 }
 
+// tick advances the node by one tick. On the leader it also proposes due moves and
+// membership changes.
 func (r *replica) tick() {
 	r.node.Tick()
 	r.ticks++
 	if r.node.Role() != consensus.Leader {
 		return
 	}
-	r.moves()
+	r.proposeMoves()
 	r.maintainMembers()
 }
 
-func (r *replica) step(m received) {
-	r.instances[m.msg.From] = m.from
+// step passes a message to the node and records the sender's instance.
+func (r *replica) step(m receivedMessage) {
+	r.instanceByID[m.msg.From] = m.from
 	r.node.Step(m.msg)
 }
 
-// flush makes pending work durable, sends, applies and answers.
-func (r *replica) flush() error {
+// processReady handles what the node has ready: it syncs state and entries to disk,
+// then sends messages, applies committed entries and completes calls. An error means
+// that the disk or the state machine has failed.
+func (r *replica) processReady() error {
 	for r.node.HasReady() {
 		rd := r.node.Ready()
 		if err := r.persist(rd); err != nil {
 			return err
 		}
-		r.sendAll(rd.Messages)
-		if err := r.applyAll(rd); err != nil {
+		r.sendMessages(rd.Messages)
+		if err := r.applyReady(rd); err != nil {
 			return err
 		}
 		r.node.Advance(rd)
-		if err := r.snapshot(); err != nil {
+		if err := r.compactIfDue(); err != nil {
 			return err
 		}
 	}
-	r.noteChanges()
+	r.reportChanges()
 	return nil
 }
 
+// persist syncs the snapshot, hard state and entries of rd to disk.
 func (r *replica) persist(rd consensus.Ready) error {
 	hard := r.node.Hard()
 	if rd.Hard != nil {
@@ -175,71 +186,78 @@
 	return r.log.Save(rd.Hard, rd.Entries)
 }
 
-func (r *replica) sendAll(msgs []consensus.Message) {
+// sendMessages sends messages to the instances of their receivers. A receiver that is
+// not a member is looked up among the senders of earlier messages.
+func (r *replica) sendMessages(msgs []consensus.Message) {
 	for _, m := range msgs {
 		to := r.node.Members().Instance(m.To)
 		if to == "" {
-			to = r.instances[m.To]
+			to = r.instanceByID[m.To]
 		}
 		if to == "" || r.c.mesh.Notify(to, methodRaft, pack(consensus.EncodeMessage(m))) != nil {
-			r.c.metrics.unsent.Inc() // consensus sends again
+			r.c.metrics.unsent.Inc() // the consensus node resends
 			continue
 		}
 		r.c.metrics.sent.Inc()
 	}
 }
 
-func (r *replica) applyAll(rd consensus.Ready) error {
+// applyReady installs a received snapshot, applies committed entries and completes
+// confirmed reads.
+func (r *replica) applyReady(rd consensus.Ready) error {
 	if rd.Snapshot != nil {
 		state, err := fleetstate.Restore(rd.Snapshot.Data)
 		if err != nil {
 			return err
 		}
-		r.state, r.applied, r.bytes, r.lastBytes = state, rd.Snapshot.Index, 0, len(rd.Snapshot.Data)
-		r.event("snapshot-installed", "")
+		r.state, r.applied, r.bytesSinceSnapshot, r.lastSnapshotBytes = state, rd.Snapshot.Index, 0, len(rd.Snapshot.Data)
+		r.recordEvent("snapshot-installed", "")
 	}
 	for _, e := range rd.Committed {
-		r.apply(e)
+		r.applyEntry(e)
 	}
-	r.install()
+	r.installView()
 	for _, read := range rd.Reads {
-		if done, ok := r.reads[read.Context]; ok {
-			delete(r.reads, read.Context)
-			done(answer{state: readState{r.state.Revision(), r.state.View(), r.state.History(maxHistory)}})
+		if done, ok := r.pendingReads[read.Context]; ok {
+			delete(r.pendingReads, read.Context)
+			done(callResult{state: readState{r.state.Revision(), r.state.View(), r.state.History(maxHistoryEntries)}})
 		}
 	}
 	return nil
 }
 
-func (r *replica) apply(e consensus.Entry) {
+// applyEntry applies a committed entry and completes the call that proposed it. If
+// another leader's entry has replaced the proposal, the call is retried.
+func (r *replica) applyEntry(e consensus.Entry) {
 	var result fleetstate.Result
 	if e.Kind == consensus.EntryCommand {
 		result = r.state.Apply(e.Data)
 		r.c.metrics.applied.Inc()
 	}
 	r.applied = e.Index
-	r.bytes += len(e.Data) + entryBytes
-	p, ok := r.waiting[e.Index]
+	r.bytesSinceSnapshot += len(e.Data) + entryOverheadBytes
+	p, ok := r.pendingByIndex[e.Index]
 	if !ok {
 		return
 	}
-	r.forget(e.Index, p)
+	r.removePending(e.Index, p)
 	if p.term != e.Term {
-		p.answer(answer{err: errRetry})
+		p.complete(callResult{err: errRetry})
 		return
 	}
-	p.answer(answer{result: result})
+	p.complete(callResult{result: result})
 }
 
-func (r *replica) forget(index uint64, p *pending) {
-	delete(r.waiting, index)
-	if r.proposed[p.id] == p {
-		delete(r.proposed, p.id)
+func (r *replica) removePending(index uint64, p *pending) {
+	delete(r.pendingByIndex, index)
+	if r.pendingByID[p.id] == p {
+		delete(r.pendingByID, p.id)
 	}
 }
 
-// install offers the view to the instance. The lease plug-in tells the others.
-func (r *replica) install() {
+// installView installs the view on this instance if it is newer. The lease or members
+// plug-in distributes it to the other instances.
+func (r *replica) installView() {
 	v := r.state.View()
 	if v.Revision <= r.c.fleet.View().Revision {
 		return
@@ -247,9 +265,10 @@
 	r.c.fleet.Install(v)
 }
 
-// snapshot shortens the log once enough has been applied.
-func (r *replica) snapshot() error {
-	if r.applied == r.node.SnapshotIndex() || r.bytes < max(snapshotBytes, 2*r.lastBytes) {
+// compactIfDue takes a snapshot and compacts the log once enough bytes of entries have
+// been applied since the last one.
+func (r *replica) compactIfDue() error {
+	if r.applied == r.node.SnapshotIndex() || r.bytesSinceSnapshot < max(minSnapshotIntervalBytes, 2*r.lastSnapshotBytes) {
 		return nil
 	}
 	data, err := r.state.Snapshot()
@@ -258,69 +277,74 @@
 	}
 	s, ok := r.node.SnapshotAt(r.applied, data)
 	if !ok {
-		return errors.Errorf("control: no snapshot possible at entry %d", r.applied)
+		return errors.Errorf("control: cannot take a snapshot at entry %d", r.applied)
 	}
 	if err := r.log.SaveSnapshot(s, r.node.Hard(), r.node.Entries(s.Index)); err != nil {
 		return err
 	}
-	r.node.Compact(s.Index, data, r.keep)
-	r.bytes, r.lastBytes = 0, len(data)
+	r.node.Compact(s.Index, data, r.retainBytes)
+	r.bytesSinceSnapshot, r.lastSnapshotBytes = 0, len(data)
 	r.c.metrics.snapshots.Inc()
 	return nil
 }
 
-// noteChanges reports changes of role, leader and membership and fails the
-// calls that wait on a leadership that has ended.
-func (r *replica) noteChanges() {
-	role, leader, members := r.node.Role(), r.node.Leader(), r.memberCount()
-	if role != consensus.Leader && r.role == consensus.Leader {
-		r.failAll()
-	}
-	if role == consensus.Leader && r.role != consensus.Leader {
+// reportChanges publishes the status, reports changes of role, leader and membership,
+// and fails the pending calls when the replica has lost leadership.
+func (r *replica) reportChanges() {
+	role, leader, members := r.node.Role(), r.node.Leader(), r.memberCounts()
+	if role != consensus.Leader && r.reportedRole == consensus.Leader {
+		r.failPendingCalls()
+	}
+	if role == consensus.Leader && r.reportedRole != consensus.Leader {
 		r.c.metrics.elected.Inc()
 	}
-	changed := role != r.role || leader != r.leader || members != r.members
+	changed := role != r.reportedRole || leader != r.reportedLeader || members != r.reportedMembers
 	if changed {
-		r.role, r.leader, r.members = role, leader, members
-		r.event(roleName(r), r.instanceOf(leader))
-		logqueue.Notice(r.c.kernel.Log, "control role", "step", roleName(r), "leader", r.instanceOf(leader), "term", r.node.Term())
+		r.reportedRole, r.reportedLeader, r.reportedMembers = role, leader, members
+		r.recordEvent(roleName(r), r.instanceOf(leader))
+		logqueue.Notice(r.c.kernel.Log, "control replica status changed", "step", roleName(r), "leader", r.instanceOf(leader), "term", r.node.Term())
 	}
-	r.publish()
+	r.publishStatus()
 	if changed {
 		r.c.statusChanged()
 	}
 }
 
-func (r *replica) memberCount() uint64 {
+// memberCounts returns the number of voters in the upper and of learners in the lower
+// 32 bits.
+func (r *replica) memberCounts() uint64 {
 	m := r.node.Members()
 	return uint64(len(m.Voters))<<32 | uint64(len(m.Learners))
 }
 
+// instanceOf returns the instance of a replica identity, or "" if it is not known.
 func (r *replica) instanceOf(id string) string {
 	if name := r.node.Members().Instance(id); name != "" || id == "" {
 		return name
 	}
-	return r.instances[id]
+	return r.instanceByID[id]
 }
 
-// failAll makes all waiting calls try again elsewhere.
-func (r *replica) failAll() {
-	for i, p := range r.waiting {
-		r.forget(i, p)
-		p.answer(answer{err: errRetry})
+// failPendingCalls completes all pending proposals and reads with errRetry.
+func (r *replica) failPendingCalls() {
+	for i, p := range r.pendingByIndex {
+		r.removePending(i, p)
+		p.complete(callResult{err: errRetry})
 	}
-	for i, done := range r.reads {
-		delete(r.reads, i)
-		done(answer{err: errRetry})
+	for i, done := range r.pendingReads {
+		delete(r.pendingReads, i)
+		done(callResult{err: errRetry})
 	}
 }
 
-func (r *replica) event(step, peer string) {
+func (r *replica) recordEvent(step, peer string) {
 	r.c.kernel.Events.Record(kernel.Event{
 		Kind: "control", Step: step, Peer: peer, Epoch: r.node.Term(), Revision: r.state.Revision(),
 	})
 }
 
+// roleName returns the role for status and events: leader, candidate, follower,
+// learner, or none if the replica is not a member.
 func roleName(r *replica) string {
 	m := r.node.Members()
 	switch role := r.node.Role(); {
@@ -336,7 +360,8 @@
 	return "none"
 }
 
-func (r *replica) publish() {
+// publishStatus stores the status that Control.Status returns.
+func (r *replica) publishStatus() {
 	m := r.node.Members()
 	s := &api.ControlStatus{
 		Replica: r.id, Role: roleName(r), Leader: r.instanceOf(r.node.Leader()),
--- a/plugin/control/server.go
+++ b/plugin/control/server.go
@@ -13,7 +13,7 @@
 	"nutmegrouter/internal/fleetstate"
 )
 
-// Methods between instances.
+// RPC methods between instances.
 const (
 	methodRaft    = "raft"
 	methodProbe   = "control.probe"
@@ -27,28 +27,29 @@
 	methodView    = "control.view"
 )
 
-// Bounds of the work on one call. The caller then tries again with the same id, so
-// they may be shorter than a change takes to be accepted.
+// Timeouts of the serving replica for one call. They may be shorter than the time
+// until a change is accepted, because the caller retries with the same id.
 const (
-	serveLimit  = 2 * time.Second
-	submitLimit = 6 * time.Second // a large document takes time to decode and to send
+	defaultServeTimeout = 2 * time.Second
+	submitServeTimeout  = 6 * time.Second // decoding and replicating a large document takes longer
 )
 
-func limitOf(method string) time.Duration {
+// serveTimeout returns the serving replica's timeout for a method.
+func serveTimeout(method string) time.Duration {
 	if method == methodSubmit {
-		return submitLimit
+		return submitServeTimeout
 	}
-	return serveLimit
+	return defaultServeTimeout
 }
 
-// reply answers every call to the leader.
+// reply is the response to every call to the leader.
 type reply struct {
-	// Retry tells the caller to try again, at Leader if that is known.
+	// Retry asks the caller to retry, at Leader if that is known.
 	Retry  bool              `json:"retry,omitempty"`
 	Leader string            `json:"leader,omitempty"`
 	Error  string            `json:"error,omitempty"`
 	Result fleetstate.Result `json:"result"`
-	// Revision, View and History answer reads.
+	// Revision, View and History are set in replies to reads.
 	Revision uint64             `json:"revision,omitempty"`
 	View     *api.View          `json:"view,omitempty"`
 	History  []api.HistoryEntry `json:"history,omitempty"`
@@ -66,6 +67,8 @@
 	}
 }
 
+// handleRaft queues a Raft message for the replica. A full ring drops it; the sender's
+// node resends.
 func (c *Control) handleRaft(_ context.Context, from string, params json.RawMessage) (any, error) {
 	if c.replica == nil {
 		return nil, errors.New("control: raft: instance has no replica")
@@ -79,7 +82,7 @@
 		var m consensus.Message
 		if m, err = consensus.DecodeMessage(raw); err == nil {
 			c.metrics.received.Inc()
-			c.inbox.Push(received{from, m})
+			c.inbox.Push(receivedMessage{from, m})
 			return nil, nil
 		}
 	}
@@ -87,90 +90,98 @@
 	return nil, errors.WithMessagef(err, "control: raft from %s", from)
 }
 
+// handleProbe returns the probeReply of the local replica.
 func (c *Control) handleProbe(ctx context.Context, _ string, _ json.RawMessage) (any, error) {
 	if c.replica == nil {
 		return nil, errors.New("control: probe: instance has no replica")
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	a := c.inLoop(ctx, func(r *replica, done func(answer)) { done(answer{probe: r.probe()}) })
-	return a.probe, a.err
+	res := c.runOnReplica(ctx, func(r *replica, done func(callResult)) { done(callResult{probe: r.probe()}) })
+	return res.probe, res.err
 }
 
-// serve handles a call on this instance.
+// serve handles a call on this instance and returns the reply. It asks the caller to
+// retry if there is no replica here, the replica is not the leader, or time runs out.
 func (c *Control) serve(ctx context.Context, method string, params json.RawMessage) reply {
 	if c.replica == nil {
 		return reply{Retry: true}
 	}
-	ctx, cancel := context.WithTimeout(ctx, limitOf(method))
+	ctx, cancel := context.WithTimeout(ctx, serveTimeout(method))
 	defer cancel()
-	a, err := c.dispatch(ctx, method, params)
+	res, err := c.dispatch(ctx, method, params)
 	if err != nil {
 		return reply{Error: err.Error()}
 	}
-	if a.err == nil && a.result.Submit != nil {
-		a.err = c.waitAccepted(ctx, a.result.Submit)
+	if res.err == nil && res.result.Submit != nil {
+		res.err = c.waitForMajority(ctx, res.result.Submit)
 	}
 	switch {
-	case a.err == nil:
-		return reply{Result: a.result, Revision: a.state.revision, View: a.state.view, History: a.state.history}
-	case errors.Is(a.err, errRetry), ctx.Err() != nil:
+	case res.err == nil:
+		return reply{Result: res.result, Revision: res.state.revision, View: res.state.view, History: res.state.history}
+	case errors.Is(res.err, errRetry), ctx.Err() != nil:
 		return reply{Retry: true, Leader: c.Status().Leader}
 	}
-	return reply{Error: a.err.Error()}
+	return reply{Error: res.err.Error()}
 }
 
-func (c *Control) dispatch(ctx context.Context, method string, params json.RawMessage) (answer, error) {
+// dispatch runs a call on the replica. The error reports malformed parameters; errors
+// of the call itself are in the result.
+func (c *Control) dispatch(ctx context.Context, method string, params json.RawMessage) (callResult, error) {
 	switch method {
 	case methodJoin:
 		var p joinParams
 		if err := json.Unmarshal(params, &p); err != nil {
-			return answer{}, errors.WithMessage(err, "control: join")
+			return callResult{}, errors.WithMessage(err, "control: join")
 		}
-		return c.inLoop(ctx, func(r *replica, done func(answer)) { r.join(p, done) }), nil
+		return c.runOnReplica(ctx, func(r *replica, done func(callResult)) { r.join(p, done) }), nil
 	case methodRead, methodHistory, methodView:
-		a := c.inLoop(ctx, func(r *replica, done func(answer)) { r.read(done) })
+		res := c.runOnReplica(ctx, func(r *replica, done func(callResult)) { r.readIndex(done) })
 		if method != methodHistory {
-			a.state.history = nil
+			res.state.history = nil
 		}
 		if method != methodView {
-			a.state.view = nil
+			res.state.view = nil
 		}
-		return a, nil
+		return res, nil
 	}
 	var cmd fleetstate.Command
 	if err := json.Unmarshal(params, &cmd); err != nil {
-		return answer{}, errors.WithMessage(err, method)
+		return callResult{}, errors.WithMessage(err, method)
 	}
 	if method == methodSubmit && cmd.Submit != nil {
 		return c.serveSubmit(ctx, cmd), nil
 	}
-	return c.inLoop(ctx, func(r *replica, done func(answer)) { r.propose(cmd, done) }), nil
+	return c.runOnReplica(ctx, func(r *replica, done func(callResult)) { r.propose(cmd, done) }), nil
 }
 
-// serveSubmit validates a new change outside the replica's goroutine and proposes
-// it. Resends skip this: a document of 12,000 targets takes its time.
-func (c *Control) serveSubmit(ctx context.Context, cmd fleetstate.Command) answer {
+// serveSubmit validates a new change outside the replica's goroutine and proposes it.
+// Retries of a known change skip the validation, which is slow for a large document
+// (12,000 targets).
+func (c *Control) serveSubmit(ctx context.Context, cmd fleetstate.Command) callResult {
 	s := cmd.Submit
-	a := c.inLoop(ctx, func(r *replica, done func(answer)) { r.known(s.ChangeID, done) })
-	if a.err != nil || a.result.Submit != nil {
-		return a
+	res := c.runOnReplica(ctx, func(r *replica, done func(callResult)) { r.findChange(s.ChangeID, done) })
+	if res.err != nil || res.result.Submit != nil {
+		return res
 	}
 	if s.Config != nil {
 		if err := fleetconfig.Validate(s.Config); err != nil {
-			return answer{result: fleetstate.Result{Submit: &api.SubmitResult{Error: err.Error()}}}
+			return callResult{result: fleetstate.Result{Submit: &api.SubmitResult{Error: err.Error()}}}
 		}
 	}
-	s.Summary = summary(c.fleet.View(), s)
-	return c.inLoop(ctx, func(r *replica, done func(answer)) { r.propose(cmd, done) })
+	s.Summary = changeSummary(c.fleet.View(), s)
+	return c.runOnReplica(ctx, func(r *replica, done func(callResult)) { r.propose(cmd, done) })
 }
 
-// acceptPoll is the interval at which the views of the instances are looked at.
-const acceptPoll = 10 * time.Millisecond
+// acceptPollInterval is the interval at which waitForMajority checks the revisions of
+// the instances.
+const acceptPollInterval = 10 * time.Millisecond
 
-// waitAccepted waits until a majority of all instances has the view, so that
-// every later lease depends on an instance that has it.
-func (c *Control) waitAccepted(ctx context.Context, s *api.SubmitResult) error {
+// waitForMajority waits until a majority of all instances has the view of an accepted
+// change, so that the majority behind any later lease includes an instance that has
+// it. It returns at once for conflicts, for results without a revision, and if
+// instances are discovered. It returns the error of ctx when that ends first.
+func (c *Control) waitForMajority(ctx context.Context, s *api.SubmitResult) error {
 	if s.Conflict != "" {
 		c.metrics.conflicts.Inc()
 		return nil
@@ -178,9 +189,9 @@
 	if s.Revision == 0 || c.lease == nil {
 		return nil
 	}
-	t := time.NewTicker(acceptPoll)
+	t := time.NewTicker(acceptPollInterval)
 	defer t.Stop()
-	for !c.majorityHas(s.Revision) {
+	for !c.majorityHasRevision(s.Revision) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -191,16 +202,17 @@
 	return nil
 }
 
-func (c *Control) majorityHas(revision uint64) bool {
-	have := 0
+// majorityHasRevision reports whether a majority of all instances has a revision.
+func (c *Control) majorityHasRevision(revision uint64) bool {
+	count := 0
 	if c.fleet.View().Revision >= revision {
-		have++
+		count++
 	}
 	peers := c.mesh.Peers()
 	for _, p := range peers {
 		if c.lease.Revision(p) >= revision {
-			have++
+			count++
 		}
 	}
-	return have > (len(peers)+1)/2
+	return count > (len(peers)+1)/2
 }
