--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -7,7 +7,7 @@
 	"nutmegrouter/internal/consensus"
 )
 
-// BenchmarkSave appends batches with one sync each.
+// BenchmarkSave measures appends of batches of entries, with one sync per batch.
 func BenchmarkSave(b *testing.B) {
 	for _, n := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
@@ -27,7 +27,8 @@
 	}
 }
 
-// BenchmarkSaveSnapshot stores a snapshot of the largest planned configuration.
+// BenchmarkSaveSnapshot measures storing a snapshot of 2 MiB, the size of the largest
+// planned configuration.
 func BenchmarkSaveSnapshot(b *testing.B) {
 	l, _, err := Open(b.TempDir())
 	if err != nil {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -8,15 +8,15 @@
 	"nutmegrouter/internal/consensus"
 )
 
-// version is the format of the files.
-const version = 1
+// formatVersion is the version of the file format.
+const formatVersion = 1
 
 // Kinds of records within the body of a frame.
 const (
-	recordIdentity = 1 // version, identity; first frame of a log
-	recordHard     = 2 // term, vote
-	recordEntry    = 3
-	recordSnapshot = 4 // index, term, members, data; only frame of a snapshot
+	recordIdentity  = 1 // version, identity; only record of a log's first frame
+	recordHardState = 2 // term, vote
+	recordEntry     = 3 // entry, encoded by package consensus
+	recordSnapshot  = 4 // version, index, term, members, data; only frame of a snapshot file
 )
 
 func appendString(b []byte, s string) []byte {
@@ -24,18 +24,19 @@
 }
 
 func identityBody(id string) []byte {
-	return appendString([]byte{recordIdentity, version}, id)
+	return appendString([]byte{recordIdentity, formatVersion}, id)
 }
 
-func appendHard(b []byte, h consensus.HardState) []byte {
-	b = binary.AppendUvarint(append(b, recordHard), h.Term)
+func appendHardState(b []byte, h consensus.HardState) []byte {
+	b = binary.AppendUvarint(append(b, recordHardState), h.Term)
 	return appendString(b, h.Vote)
 }
 
+// batchBody encodes the hard state, if any, and entries as the body of one frame.
 func batchBody(hard *consensus.HardState, entries []consensus.Entry) []byte {
 	var b []byte
 	if hard != nil {
-		b = appendHard(b, *hard)
+		b = appendHardState(b, *hard)
 	}
 	for _, e := range entries {
 		b = consensus.AppendEntryTo(append(b, recordEntry), e)
@@ -44,62 +45,65 @@
 }
 
 func snapshotBody(s consensus.Snapshot) []byte {
-	b := binary.AppendUvarint([]byte{recordSnapshot, version}, s.Index)
+	b := binary.AppendUvarint([]byte{recordSnapshot, formatVersion}, s.Index)
 	b = binary.AppendUvarint(b, s.Term)
 	b = appendString(b, string(consensus.EncodeMembership(s.Members)))
 	return append(b, s.Data...)
 }
 
-func cutUvarint(b []byte) (uint64, []byte, error) {
-	v, k := binary.Uvarint(b)
-	if k <= 0 {
-		return 0, nil, errors.WithMessage(ErrCorrupt, "bad number")
+// readUvarint decodes a varint at the start of b and returns the bytes after it.
+func readUvarint(b []byte) (uint64, []byte, error) {
+	v, n := binary.Uvarint(b)
+	if n <= 0 {
+		return 0, nil, errors.WithMessage(ErrCorrupt, "malformed number")
 	}
-	return v, b[k:], nil
+	return v, b[n:], nil
 }
 
-func cutString(b []byte) (string, []byte, error) {
-	k, b, err := cutUvarint(b)
+// readString decodes a length-prefixed string at the start of b and returns the bytes
+// after it.
+func readString(b []byte) (string, []byte, error) {
+	n, b, err := readUvarint(b)
 	if err != nil {
 		return "", nil, err
 	}
-	if k > uint64(len(b)) {
-		return "", nil, errors.WithMessage(ErrCorrupt, "bad length")
+	if n > uint64(len(b)) {
+		return "", nil, errors.WithMessage(ErrCorrupt, "string is longer than the remaining data")
 	}
-	return string(b[:k]), b[k:], nil
+	return string(b[:n]), b[n:], nil
 }
 
 func decodeIdentity(b []byte) (string, error) {
 	if len(b) < 2 || b[0] != recordIdentity {
-		return "", errors.WithMessage(ErrCorrupt, "first frame holds no identity")
+		return "", errors.WithMessage(ErrCorrupt, "first frame has no identity record")
 	}
-	if b[1] != version {
-		return "", errors.Errorf("wal: log has format %d, this program reads %d", b[1], version)
+	if b[1] != formatVersion {
+		return "", errors.Errorf("wal: log has format version %d, this program supports %d", b[1], formatVersion)
 	}
-	id, rest, err := cutString(b[2:])
+	id, rest, err := readString(b[2:])
 	if err == nil && (len(rest) > 0 || id == "") {
-		err = errors.WithMessage(ErrCorrupt, "bad identity")
+		err = errors.WithMessage(ErrCorrupt, "malformed identity record")
 	}
 	return id, err
 }
 
 func decodeSnapshot(b []byte) (*consensus.Snapshot, error) {
 	if len(b) < 2 || b[0] != recordSnapshot {
-		return nil, errors.WithMessage(ErrCorrupt, "frame holds no snapshot")
+		return nil, errors.WithMessage(ErrCorrupt, "frame has no snapshot record")
 	}
-	if b[1] != version {
-		return nil, errors.Errorf("wal: snapshot has format %d, this program reads %d", b[1], version)
+	if b[1] != formatVersion {
+		return nil, errors.Errorf("wal: snapshot has format version %d, this program supports %d", b[1], formatVersion)
 	}
 	s := &consensus.Snapshot{}
 	var err error
 	b = b[2:]
-	if s.Index, b, err = cutUvarint(b); err != nil {
+	if s.Index, b, err = readUvarint(b); err != nil {
 		return nil, err
 	}
-	if s.Term, b, err = cutUvarint(b); err != nil {
+	if s.Term, b, err = readUvarint(b); err != nil {
 		return nil, err
 	}
-	raw, b, err := cutString(b)
+	raw, b, err := readString(b)
 	if err != nil {
 		return nil, err
 	}
@@ -110,13 +114,13 @@
 	return s, nil
 }
 
-// applyBatch adds the records of one frame to the state.
+// applyBatch applies the records of one frame to the state.
 func (st *State) applyBatch(b []byte) error {
 	for len(b) > 0 {
 		var err error
 		switch kind := b[0]; kind {
-		case recordHard:
-			b, err = st.applyHard(b[1:])
+		case recordHardState:
+			b, err = st.applyHardState(b[1:])
 		case recordEntry:
 			b, err = st.applyEntry(b[1:])
 		default:
@@ -129,25 +133,25 @@
 	return nil
 }
 
-func (st *State) applyHard(b []byte) ([]byte, error) {
-	term, b, err := cutUvarint(b)
+func (st *State) applyHardState(b []byte) ([]byte, error) {
+	term, b, err := readUvarint(b)
 	if err != nil {
 		return nil, err
 	}
-	vote, b, err := cutString(b)
+	vote, b, err := readString(b)
 	st.Hard = consensus.HardState{Term: term, Vote: vote}
 	return b, err
 }
 
-// applyEntry adds an entry. One at or below the newest index replaces the
-// entries from there on.
+// applyEntry appends an entry. An entry whose index is already present replaces that
+// entry and all later ones.
 func (st *State) applyEntry(b []byte) ([]byte, error) {
 	e, b, err := consensus.ReadEntry(b)
 	if err != nil {
 		return nil, errors.WithMessage(ErrCorrupt, err.Error())
 	}
-	if k := len(st.Entries); k > 0 {
-		first, last := st.Entries[0].Index, st.Entries[k-1].Index
+	if n := len(st.Entries); n > 0 {
+		first, last := st.Entries[0].Index, st.Entries[n-1].Index
 		if e.Index < first || e.Index > last+1 {
 			return nil, errors.WithMessagef(ErrCorrupt, "entry %d does not follow entry %d", e.Index, last)
 		}
@@ -157,22 +161,22 @@
 	return b, nil
 }
 
-// join drops the entries that the snapshot covers or contradicts, and checks
-// that none is missing between them.
-func (st *State) join() error {
+// trimToSnapshot drops the entries that the snapshot covers, or all entries if they
+// conflict with it. It returns ErrCorrupt if entries are missing between the two.
+func (st *State) trimToSnapshot() error {
 	if len(st.Entries) == 0 {
 		return nil
 	}
 	s, first := st.Snapshot, st.Entries[0].Index
 	if first > s.Index+1 {
-		return errors.WithMessagef(ErrCorrupt, "log begins at entry %d, snapshot ends at %d", first, s.Index)
+		return errors.WithMessagef(ErrCorrupt, "log starts at entry %d, but the snapshot ends at entry %d", first, s.Index)
 	}
-	at := int(s.Index) - int(first) // position of the entry that the snapshot ends with
+	position := int(s.Index) - int(first) // of the last entry in the snapshot
 	switch {
-	case at >= len(st.Entries), at >= 0 && st.Entries[at].Term != s.Term:
+	case position >= len(st.Entries), position >= 0 && st.Entries[position].Term != s.Term:
 		st.Entries = nil
 	default:
-		st.Entries = st.Entries[at+1:]
+		st.Entries = st.Entries[position+1:]
 	}
 	return nil
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -43,8 +43,8 @@
 
 var members = consensus.Membership{Voters: []consensus.Member{{ID: "x", Instance: "i0"}}}
 
-// TestReopen guards against state that is lost or changed by a restart.
-func TestReopen(t *testing.T) {
+// TestStateSurvivesReopen guards against a restart that loses or changes saved state.
+func TestStateSurvivesReopen(t *testing.T) {
 	is := is.New(t)
 	l, st := mustOpen(t, t.TempDir())
 	id := st.Identity
@@ -66,11 +66,11 @@
 	is.Equal(st.Entries, entries(7, 9, 3))
 	is.Equal(st.Hard.Vote, "v")
 	_ = l.Close()
-	is.True(l.Save(nil, entries(10, 10, 3)) != nil) // a closed log accepts nothing
+	is.True(l.Save(nil, entries(10, 10, 3)) != nil) // a closed log refuses writes
 }
 
-// TestLock guards against two processes on one folder.
-func TestLock(t *testing.T) {
+// TestFolderLocked guards against two processes that use one folder at the same time.
+func TestFolderLocked(t *testing.T) {
 	is := is.New(t)
 	l, _ := mustOpen(t, t.TempDir())
 	_, _, err := Open(l.dir)
@@ -79,8 +79,9 @@
 	mustOpen(t, l.dir)
 }
 
-// grown returns the log file before and after the last save.
-func grown(t *testing.T) (l *Log, before, after []byte) {
+// logBeforeAndAfterSave returns a closed log and the content of its file before and
+// after the last save.
+func logBeforeAndAfterSave(t *testing.T) (l *Log, before, after []byte) {
 	t.Helper()
 	is := is.New(t)
 	l, _ = mustOpen(t, t.TempDir())
@@ -94,11 +95,11 @@
 	return l, before, after
 }
 
-// TestTornTail guards against a folder that does not open after the process or
-// the machine ended between a write and its sync, and against a synced entry
-// that is dropped with the tail.
+// TestTornTail guards against a folder that cannot be opened after a crash of the process
+// or machine between a write and its sync, and against synced entries that are truncated
+// with the torn tail.
 func TestTornTail(t *testing.T) {
-	l, before, after := grown(t)
+	l, before, after := logBeforeAndAfterSave(t)
 	torn := map[string][]byte{}
 	for cut := len(before); cut < len(after); cut += 7 {
 		torn[fmt.Sprintf("cut at %d", cut)] = after[:cut]
@@ -112,33 +113,33 @@
 	for name, raw := range torn {
 		is := is.New(t)
 		is.NoErr(os.WriteFile(l.path(logName), raw, 0o600))
-		again, st, err := Open(l.dir)
+		reopened, st, err := Open(l.dir)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		is.Equal(st.Entries, entries(1, 20, 1)) // the synced entries, no more
+		is.Equal(st.Entries, entries(1, 20, 1)) // only the synced entries
 		is.Equal(st.Hard.Term, uint64(1))
 		is.Equal(st.TornBytes, len(raw)-len(before))
-		is.NoErr(again.Save(nil, entries(21, 22, 3)))
-		again, st = reopen(t, again)
+		is.NoErr(reopened.Save(nil, entries(21, 22, 3)))
+		reopened, st = reopen(t, reopened)
 		is.Equal(len(st.Entries), 22)
-		_ = again.Close()
+		_ = reopened.Close()
 	}
 }
 
-// TestDamage guards against damage that is taken for a torn tail, which would
-// drop synced entries without notice, and against errors that name no place.
-func TestDamage(t *testing.T) {
-	l, before, after := grown(t)
-	for at := range after {
+// TestDamagedLog guards against damage that is mistaken for a torn tail, which would
+// silently drop synced entries, and against errors that do not name the damaged frame.
+func TestDamagedLog(t *testing.T) {
+	l, before, after := logBeforeAndAfterSave(t)
+	for offset := range after {
 		is := is.New(t)
 		raw := bytes.Clone(after)
-		raw[at] ^= 0x40
+		raw[offset] ^= 0x40
 		is.NoErr(os.WriteFile(l.path(logName), raw, 0o600))
-		again, st, err := Open(l.dir)
+		reopened, st, err := Open(l.dir)
 		if err == nil { // the flipped bit is in the padding
 			is.Equal(len(st.Entries), 60)
-			_ = again.Close()
+			_ = reopened.Close()
 			continue
 		}
 		is.True(errors.Is(err, ErrCorrupt))
@@ -168,8 +169,9 @@
 	}
 }
 
-// TestSnapshotDamage guards against a damaged or missing file beside a snapshot.
-func TestSnapshotDamage(t *testing.T) {
+// TestDamagedSnapshot guards against opening a folder whose snapshot is damaged or
+// missing, or whose log is missing although a snapshot exists.
+func TestDamagedSnapshot(t *testing.T) {
 	cases := map[string]func(l *Log) error{
 		"damaged snapshot": func(l *Log) error {
 			raw, err := os.ReadFile(l.path(snapshotName))
@@ -194,8 +196,8 @@
 	}
 }
 
-// TestSnapshotInterrupted guards against a folder that does not open, or loses
-// entries, after the process ended at a step of storing a snapshot.
+// TestSnapshotInterrupted guards against a folder that cannot be opened, or loses
+// entries, after the process ended between two steps of storing a snapshot.
 func TestSnapshotInterrupted(t *testing.T) {
 	cases := map[string]struct {
 		snap consensus.Snapshot
@@ -212,7 +214,7 @@
 			is := is.New(t)
 			l, _ := mustOpen(t, t.TempDir())
 			is.NoErr(l.Save(&consensus.HardState{Term: 2}, entries(1, 5, 1)))
-			if tc.snap.Index > 0 { // the snapshot has its name, the log is the old one
+			if tc.snap.Index > 0 { // the snapshot is stored, the log not yet replaced
 				is.NoErr(l.replaceFile(snapshotName, appendFrame(nil, 1, snapshotBody(tc.snap))))
 			}
 			is.NoErr(os.WriteFile(filepath.Join(l.dir, snapshotName+tempSuffix), []byte("half"), 0o600))
@@ -230,14 +232,15 @@
 	}
 }
 
-// FuzzLog guards against panics and against entries with gaps on damaged files.
-func FuzzLog(f *testing.F) {
+// FuzzDecode guards against panics, and against gaps between decoded entries, on damaged
+// files.
+func FuzzDecode(f *testing.F) {
 	body := batchBody(&consensus.HardState{Term: 2, Vote: "v"}, entries(1, 3, 1))
 	f.Add(appendFrame(appendFrame(nil, 1, identityBody("id")), 2, body), body)
 	f.Add(appendFrame(nil, 1, identityBody("id"))[:20], snapshotBody(consensus.Snapshot{Index: 1, Members: members}))
 	f.Fuzz(func(t *testing.T, file, body []byte) {
-		// The checksum would keep the fuzzer out of the records, so the body is
-		// also framed.
+		// Random files fail at the checksums, so the body is also put into a valid
+		// frame to reach the decoding of records.
 		for _, raw := range [][]byte{file, appendFrame(appendFrame(nil, 1, identityBody("id")), 2, body)} {
 			st := &State{}
 			end, _, err := decodeLog(raw, st)
@@ -245,7 +248,7 @@
 				continue
 			}
 			if end > len(raw) {
-				t.Fatalf("whole frames end at %d of %d bytes", end, len(raw))
+				t.Fatalf("complete frames end at %d of %d bytes", end, len(raw))
 			}
 			for i, e := range st.Entries {
 				if e.Index != st.Entries[0].Index+uint64(i) {
@@ -258,10 +261,9 @@
 	})
 }
 
-// TestGenerated guards, over generated sequences of saves, snapshots, restarts
-// and interrupted writes, against a folder that returns another state than the
-// one last synced.
-func TestGenerated(t *testing.T) {
+// TestRandomOperations guards against a folder that returns a state other than the last
+// synced one, after random sequences of saves, snapshots, restarts and interrupted writes.
+func TestRandomOperations(t *testing.T) {
 	root := t.TempDir()
 	run := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -272,15 +274,16 @@
 		}
 		defer func() { _ = l.Close() }()
 		for range rapid.IntRange(1, 25).Draw(rt, "steps") {
-			if l, err = step(rt, l, want); err != nil {
+			if l, err = randomStep(rt, l, want); err != nil {
 				rt.Fatal(err)
 			}
 		}
 	})
 }
 
-// step performs one action on the folder and on the state it must return.
-func step(t *rapid.T, l *Log, want *State) (*Log, error) {
+// randomStep performs one random operation on the folder and updates the state that the
+// folder must return.
+func randomStep(t *rapid.T, l *Log, want *State) (*Log, error) {
 	last := want.Snapshot.Index + uint64(len(want.Entries))
 	switch rapid.IntRange(0, 4).Draw(t, "action") {
 	case 0, 1:
@@ -297,15 +300,15 @@
 			want.Entries = want.Entries[cut:]
 		}
 		return l, l.SaveSnapshot(want.Snapshot, want.Hard, want.Entries)
-	case 3: // the process ends within the write of a frame
-		frame := appendFrame(nil, l.number, batchBody(nil, entries(last+1, last+3, 99)))
+	case 3: // the process ends during the write of a frame
+		frame := appendFrame(nil, l.nextFrame, batchBody(nil, entries(last+1, last+3, 99)))
 		_, err := l.file.Write(frame[:rapid.IntRange(0, len(frame)-1).Draw(t, "written")])
 		if err != nil {
 			return l, err
 		}
 	}
 	_ = l.Close()
-	again, st, err := Open(l.dir)
+	reopened, st, err := Open(l.dir)
 	if err != nil {
 		return l, err
 	}
@@ -313,5 +316,5 @@
 	if got, exp := fmt.Sprintf("%+v", *st), fmt.Sprintf("%+v", *want); got != exp {
 		t.Fatalf("got %s\nwant %s", got, exp)
 	}
-	return again, nil
+	return reopened, nil
 }
