--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,20 +8,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-const maxCacheEvents = 1024
+const maxCacheEvents = 1024 // kept for GET /cache/events
 
-// CacheEvent tells that an engine stored a prompt prefix.
+// CacheEvent reports that an engine stored a prompt prefix in its prompt cache.
 type CacheEvent struct {
-	Seq    uint64 `json:"seq"`
-	Kind   string `json:"kind"`
-	Prefix string `json:"prefix"`
-	AtMs   int64  `json:"at_ms"`
+	Seq    uint64 `json:"seq"`    // from 1; dropped events leave gaps
+	Kind   string `json:"kind"`   // stored
+	Prefix string `json:"prefix"` // Seed of the request body, hexadecimal
+	AtMs   int64  `json:"at_ms"`  // Unix ms
 }
 
-// cacheLog publishes cache events late and leaves out every gap-th one.
+// cacheLog publishes prompt cache events with a delay and drops every dropEvery-th one.
 type cacheLog struct {
-	lag time.Duration
-	gap uint64
+	lag       time.Duration
+	dropEvery uint64
 
 	mu     sync.Mutex
 	seq    uint64
@@ -29,14 +29,14 @@
 }
 
 func newCacheLog(s Spec) *cacheLog {
-	return &cacheLog{lag: time.Duration(s.CacheLagMs) * time.Millisecond, gap: uint64(max(2, s.CacheGap))}
+	return &cacheLog{lag: time.Duration(s.CacheLagMs) * time.Millisecond, dropEvery: uint64(max(2, s.CacheGap))}
 }
 
 func (c *cacheLog) add(now time.Time, prefix uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seq++
-	if c.seq%c.gap == 0 {
+	if c.seq%c.dropEvery == 0 {
 		return
 	}
 	c.events = append(c.events, CacheEvent{c.seq, "stored", strconv.FormatUint(prefix, 16), now.UnixMilli()})
@@ -47,10 +47,12 @@
 
 func (c *cacheLog) serve(ctx *fasthttp.RequestCtx) {
 	after, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
-	writeJSON(ctx, map[string]any{"events": c.since(time.Now(), after)})
+	writeJSON(ctx, map[string]any{"events": c.eventsAfter(time.Now(), after)})
 }
 
-func (c *cacheLog) since(now time.Time, after uint64) []CacheEvent {
+// eventsAfter returns the events with a sequence number above after that are at least one
+// lag old at now.
+func (c *cacheLog) eventsAfter(now time.Time, after uint64) []CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := []CacheEvent{}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -9,14 +9,17 @@
 	"github.com/pkg/errors"
 )
 
-// controlClient uses a fresh connection each time, so that no fault of a
-// target's open connections can touch it.
+// controlClient opens a new connection for each request, so that faults of open
+// connections do not affect it.
 var controlClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Inject posts a fault (JSON, see Fault) to the stand-in at an address.
+// Inject activates a fault, given as the JSON of a Fault, in the stand-in at an IP:port.
+// It returns an error if the stand-in cannot be reached or refuses the fault.
 func Inject(addr, fault string) error { return post(addr, "/fault", fault) }
 
-// SetInstance changes the state of one instance in a platform's list.
+// SetInstance sets the state of an instance in the list of the platform stand-in at an
+// IP:port. It returns an error if the stand-in cannot be reached or does not list the
+// instance.
 func SetInstance(addr, name, state string) error {
 	return post(addr, "/instances", `{"name":"`+name+`","state":"`+state+`"}`)
 }
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -10,55 +10,57 @@
 	"github.com/pkg/errors"
 )
 
-// controlPaths begin the requests that stay reachable while faults are active.
+// controlPaths are the beginnings of requests that are served while faults are active.
+// Faults do not affect their connections.
 var controlPaths = [][]byte{[]byte("POST /fault"), []byte("GET /stats"), []byte("GET /runs"), []byte("POST /instances")}
 
-// reopenEvery is the interval of attempts to listen again after "refuse".
-const reopenEvery = 20 * time.Millisecond
-
-var errClosed = errors.New("stand-in: listener closed")
-
-// door is a listener that can refuse, cut and silence connections.
-type door struct {
-	address string
-	conns   chan net.Conn
-	done    chan struct{}
-	// dropping reports that a data connection must be reset at its first
-	// byte, silent that it must not be read.
-	dropping, silent func() bool
-
-	mu     sync.Mutex
-	inner  net.Listener
-	open   map[*faultConn]struct{}
-	closed bool
-	// refusing is true while the port is closed for a while.
+// reopenInterval is the time between attempts to listen again after FaultRefuse.
+const reopenInterval = 20 * time.Millisecond
+
+var errListenerClosed = errors.New("stand-in: listener closed")
+
+// faultListener is a net.Listener that can refuse, close and silence connections.
+type faultListener struct {
+	address  string
+	accepted chan net.Conn
+	done     chan struct{}
+	// shouldReset reports whether a data connection must be closed when it
+	// receives bytes, shouldSilence whether it must become silent.
+	shouldReset, shouldSilence func() bool
+
+	mu        sync.Mutex
+	inner     net.Listener
+	openConns map[*faultConn]struct{}
+	closed    bool
+	// refusing is true while the port is closed by FaultRefuse.
 	refusing bool
 }
 
-func openDoor(address string) (*door, error) {
+// newFaultListener listens on an IP:port and accepts connections in the background.
+func newFaultListener(address string) (*faultListener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "stand-in")
 	}
-	d := &door{address: l.Addr().String(), conns: make(chan net.Conn), done: make(chan struct{}),
-		inner: l, open: map[*faultConn]struct{}{}}
-	go d.acceptFrom(l)
-	return d, nil
+	fl := &faultListener{address: l.Addr().String(), accepted: make(chan net.Conn), done: make(chan struct{}),
+		inner: l, openConns: map[*faultConn]struct{}{}}
+	go fl.acceptFrom(l)
+	return fl, nil
 }
 
-func (d *door) acceptFrom(l net.Listener) {
+func (fl *faultListener) acceptFrom(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		fc := &faultConn{Conn: c, door: d, gone: make(chan struct{})}
-		d.mu.Lock()
-		d.open[fc] = struct{}{}
-		d.mu.Unlock()
+		fc := &faultConn{Conn: c, listener: fl, done: make(chan struct{})}
+		fl.mu.Lock()
+		fl.openConns[fc] = struct{}{}
+		fl.mu.Unlock()
 		select {
-		case d.conns <- fc:
-		case <-d.done:
+		case fl.accepted <- fc:
+		case <-fl.done:
 			_ = fc.Close()
 			return
 		}
@@ -66,107 +68,113 @@
 }
 
 // Accept implements net.Listener.
-func (d *door) Accept() (net.Conn, error) {
+func (fl *faultListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-d.conns:
+	case c := <-fl.accepted:
 		return c, nil
-	case <-d.done:
-		return nil, errClosed
+	case <-fl.done:
+		return nil, errListenerClosed
 	}
 }
 
 // Addr implements net.Listener.
-func (d *door) Addr() net.Addr { return d.inner.Addr() }
+func (fl *faultListener) Addr() net.Addr { return fl.inner.Addr() }
 
 // Close implements net.Listener.
-func (d *door) Close() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed {
+func (fl *faultListener) Close() error {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	if fl.closed {
 		return nil
 	}
-	d.closed = true
-	close(d.done)
-	return d.inner.Close()
+	fl.closed = true
+	close(fl.done)
+	return fl.inner.Close()
 }
 
-// refuse closes the port for a while, so that connections are refused, and
-// cuts all open connections.
-func (d *door) refuse(pause time.Duration) {
-	d.mu.Lock()
-	l := d.inner
-	d.refusing = true
-	d.mu.Unlock()
+// refuse closes all data connections and the port, and opens the port again after the
+// outage.
+func (fl *faultListener) refuse(outage time.Duration) {
+	fl.mu.Lock()
+	l := fl.inner
+	fl.refusing = true
+	fl.mu.Unlock()
 	_ = l.Close()
-	d.cut()
-	go d.reopen(pause)
+	fl.cutConns()
+	go fl.reopen(outage)
 }
 
-func (d *door) reopen(pause time.Duration) {
-	wait := pause
+// reopen listens on the same address again after the outage. It retries until the port
+// is available.
+func (fl *faultListener) reopen(outage time.Duration) {
+	wait := outage
 	for {
 		select {
-		case <-d.done:
+		case <-fl.done:
 			return
 		case <-time.After(wait):
 		}
-		if l, err := net.Listen("tcp", d.address); err == nil {
-			d.install(l)
+		if l, err := net.Listen("tcp", fl.address); err == nil {
+			fl.replaceListener(l)
 			return
 		}
-		wait = reopenEvery
+		wait = reopenInterval
 	}
 }
 
-func (d *door) install(l net.Listener) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed {
+// replaceListener accepts from a new listener after an outage.
+func (fl *faultListener) replaceListener(l net.Listener) {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	if fl.closed {
 		_ = l.Close()
 		return
 	}
-	d.inner, d.refusing = l, false
-	go d.acceptFrom(l)
+	fl.inner, fl.refusing = l, false
+	go fl.acceptFrom(l)
 }
 
-// drops reports whether a data connection must be closed at its first byte.
-func (d *door) drops() bool {
-	d.mu.Lock()
-	refusing := d.refusing
-	d.mu.Unlock()
-	return refusing || (d.dropping != nil && d.dropping())
+// mustReset reports whether a data connection must be closed when it receives bytes.
+func (fl *faultListener) mustReset() bool {
+	fl.mu.Lock()
+	refusing := fl.refusing
+	fl.mu.Unlock()
+	return refusing || (fl.shouldReset != nil && fl.shouldReset())
 }
 
-// each calls f for all open connections except those of the control paths.
-func (d *door) each(f func(*faultConn)) {
-	d.mu.Lock()
-	var list []*faultConn
-	for c := range d.open {
-		list = append(list, c)
+// eachDataConn calls f for each open connection whose last request was not for a control
+// path.
+func (fl *faultListener) eachDataConn(f func(*faultConn)) {
+	fl.mu.Lock()
+	var conns []*faultConn
+	for c := range fl.openConns {
+		conns = append(conns, c)
 	}
-	d.mu.Unlock()
-	for _, c := range list {
+	fl.mu.Unlock()
+	for _, c := range conns {
 		if !c.isControl() {
 			f(c)
 		}
 	}
 }
 
-func (d *door) cut() { d.each(func(c *faultConn) { _ = c.Close() }) }
+func (fl *faultListener) cutConns() { fl.eachDataConn(func(c *faultConn) { _ = c.Close() }) }
 
-// silence makes the open connections silent for good; new ones work.
-func (d *door) silence() { d.each((*faultConn).hush) }
+// silenceConns makes the open data connections silent until they are closed. New ones
+// are not affected.
+func (fl *faultListener) silenceConns() { fl.eachDataConn((*faultConn).silence) }
 
-// faultConn is a connection that can be silenced.
+// faultConn is a connection that can be silenced: it then stays open, but transfers
+// nothing more.
 type faultConn struct {
 	net.Conn
-	door *door
-	gone chan struct{}
+	listener *faultListener
+	done     chan struct{}
 
-	mu      sync.Mutex
-	control bool
-	hushed  bool
-	closed  bool
+	mu       sync.Mutex
+	control  bool
+	silenced bool
+	closed   bool
 }
 
 func (c *faultConn) isControl() bool {
@@ -175,43 +183,45 @@
 	return c.control
 }
 
-func (c *faultConn) hush() {
+func (c *faultConn) silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hushed = true
+	c.silenced = true
 }
 
-func (c *faultConn) isHushed() bool {
+func (c *faultConn) isSilenced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hushed
+	return c.silenced
 }
 
-// Read implements net.Conn. A silent connection swallows nothing more and
-// returns only when it is closed.
+// Read implements net.Conn. On a silent connection it reads nothing more and returns only
+// when the connection is closed.
 func (c *faultConn) Read(p []byte) (int, error) {
-	if c.isHushed() {
-		return c.block()
+	if c.isSilenced() {
+		return c.blockUntilClosed()
 	}
 	n, err := c.Conn.Read(p)
 	if err != nil {
 		return n, err
 	}
-	if c.markControl(p[:n]) {
+	if c.classify(p[:n]) {
 		return n, nil
 	}
-	if c.door.drops() {
+	if c.listener.mustReset() {
 		_ = c.Close()
 		return 0, net.ErrClosed
 	}
-	if c.isHushed() || (c.door.silent != nil && c.door.silent()) {
-		c.hush()
-		return c.block()
+	if c.isSilenced() || (c.listener.shouldSilence != nil && c.listener.shouldSilence()) {
+		c.silence()
+		return c.blockUntilClosed()
 	}
 	return n, nil
 }
 
-func (c *faultConn) markControl(first []byte) bool {
+// classify updates whether the connection is used for a control path, if the bytes begin
+// a request. It returns the present value.
+func (c *faultConn) classify(first []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes.HasPrefix(first, []byte("GET /")) || bytes.HasPrefix(first, []byte("POST /")) {
@@ -222,14 +232,14 @@
 
 // Write implements net.Conn.
 func (c *faultConn) Write(p []byte) (int, error) {
-	if c.isHushed() {
-		return c.block()
+	if c.isSilenced() {
+		return c.blockUntilClosed()
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *faultConn) block() (int, error) {
-	<-c.gone
+func (c *faultConn) blockUntilClosed() (int, error) {
+	<-c.done
 	return 0, net.ErrClosed
 }
 
@@ -242,9 +252,9 @@
 	}
 	c.closed = true
 	c.mu.Unlock()
-	close(c.gone)
-	c.door.mu.Lock()
-	delete(c.door.open, c)
-	c.door.mu.Unlock()
+	close(c.done)
+	c.listener.mu.Lock()
+	delete(c.listener.openConns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,168 +11,173 @@
 	"github.com/valyala/fasthttp"
 )
 
-// EngineRequest is what an engine reads of a request body; the rest is free.
+// EngineRequest holds the fields of a request body that an engine reads. Other fields
+// are ignored.
 type EngineRequest struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
 	MaxTokens int    `json:"max_tokens"`
-	// User is the request tag under which the start of work is recorded.
+	// User is the request tag under which GET /runs counts the request.
 	User string `json:"user"`
 }
 
 const (
-	maxTokens  = 1 << 16
+	maxTokens  = 1 << 16 // largest max_tokens of a request
 	maxStreams = 1 << 14 // streams that an engine can resume
 )
 
-// knownStreams are the streams that an engine can resume: the newest ones since
-// it started. A restart forgets them.
-type knownStreams struct {
-	boot uint64
-	seen map[string]bool
-	list []string
+// resumableStreams holds the ids of the streams that an engine can resume: the newest
+// maxStreams of its present boot. A restart clears them.
+type resumableStreams struct {
+	boot   uint64
+	ids    map[string]bool
+	newest []string // oldest first
 }
 
-func (k *knownStreams) add(boot uint64, id string) {
-	if k.boot != boot {
-		*k = knownStreams{boot: boot, seen: map[string]bool{}}
+func (r *resumableStreams) add(boot uint64, id string) {
+	if r.boot != boot {
+		*r = resumableStreams{boot: boot, ids: map[string]bool{}}
 	}
-	if len(k.list) >= maxStreams {
-		delete(k.seen, k.list[0])
-		k.list = k.list[1:]
+	if len(r.newest) >= maxStreams {
+		delete(r.ids, r.newest[0])
+		r.newest = r.newest[1:]
 	}
-	k.seen[id] = true
-	k.list = append(k.list, id)
+	r.ids[id] = true
+	r.newest = append(r.newest, id)
 }
 
-func (k *knownStreams) has(boot uint64, id string) bool { return k.boot == boot && k.seen[id] }
+func (r *resumableStreams) has(boot uint64, id string) bool { return r.boot == boot && r.ids[id] }
 
-// engine is the part of a target that a model engine has.
+// engine is the part of a target that is specific to a model engine.
 type engine struct {
-	t     *target
-	cache *cacheLog
+	target *target
+	cache  *cacheLog
 
-	mu       sync.Mutex
-	nextID   uint64
-	streams  map[string]*work
-	known    knownStreams
-	fence    uint64
-	model    string
-	version  string
-	role     string
-	fetching fasthttp.Client
+	mu           sync.Mutex
+	nextID       uint64
+	streams      map[string]*work
+	resumable    resumableStreams
+	fencingToken uint64
+	model        string
+	version      string
+	role         string
+	weightClient fasthttp.Client
 }
 
 func newEngine(t *target) *engine {
-	return &engine{t: t, cache: newCacheLog(t.spec), streams: map[string]*work{}}
+	return &engine{target: t, cache: newCacheLog(t.spec), streams: map[string]*work{}}
 }
 
 func (e *engine) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == "/v1/chat/completions" || path == "/v1/completions":
-		e.complete(ctx)
+		e.serveCompletion(ctx)
 	case strings.HasPrefix(path, "/v1/streams/") && strings.HasSuffix(path, "/cancel"):
-		e.cancelStream(ctx, strings.TrimSuffix(strings.TrimPrefix(path, "/v1/streams/"), "/cancel"))
+		e.serveCancel(ctx, strings.TrimSuffix(strings.TrimPrefix(path, "/v1/streams/"), "/cancel"))
 	case path == "/cache/events":
 		e.cache.serve(ctx)
 	case path == "/orders":
-		e.order(ctx)
+		e.serveOrder(ctx)
 	default:
-		e.t.stateHeaders(ctx)
+		e.target.setStateHeaders(ctx)
 		ctx.Error("unknown path", fasthttp.StatusNotFound)
 	}
 }
 
-// complete runs one request. The head goes out at admission.
-func (e *engine) complete(ctx *fasthttp.RequestCtx) {
+// serveCompletion runs one request. The response header is sent at admission, before
+// the first token.
+func (e *engine) serveCompletion(ctx *fasthttp.RequestCtx) {
 	body := append([]byte(nil), ctx.PostBody()...)
 	var r EngineRequest
 	if err := json.Unmarshal(body, &r); err != nil || r.MaxTokens < 1 || r.MaxTokens > maxTokens {
-		e.t.stateHeaders(ctx)
+		e.target.setStateHeaders(ctx)
 		ctx.Error("want JSON with max_tokens", fasthttp.StatusBadRequest)
 		return
 	}
-	from, id, ok := e.resumePoint(ctx)
+	lastEvent, id, ok := e.resumePoint(ctx)
 	if !ok {
-		e.t.stateHeaders(ctx)
+		e.target.setStateHeaders(ctx)
 		ctx.Error("cannot resume this stream", fasthttp.StatusConflict)
 		return
 	}
-	w := e.t.begin(ctx, r.User, id != "")
+	w := e.target.startWork(ctx, r.User, id != "")
 	if w == nil {
 		return
 	}
-	if e.t.faults.isOn(FaultSilentAfter) {
-		e.t.hold(ctx, w)
+	if e.target.faults.isActive(FaultSilentAfter) {
+		e.target.holdResponse(ctx, w)
 		return
 	}
 	if id == "" {
-		id = e.newID(w.boot)
+		id = e.newStreamID(w.boot)
 	}
-	e.keep(id, w)
+	e.register(id, w)
 	e.cache.add(time.Now(), Seed(body))
-	e.respond(ctx, id, w, &r, body, from)
+	e.respond(ctx, id, w, &r, body, lastEvent)
 }
 
-func (e *engine) respond(ctx *fasthttp.RequestCtx, id string, w *work, r *EngineRequest, body []byte, from int) {
-	e.t.stateHeaders(ctx)
+func (e *engine) respond(ctx *fasthttp.RequestCtx, id string, w *work, r *EngineRequest, body []byte, lastEvent int) {
+	e.target.setStateHeaders(ctx)
 	ctx.Response.Header.Set("X-Stream-Id", id)
 	ctx.Response.ImmediateHeaderFlush = true
-	s := newStream(e.t, w, body, r.MaxTokens, from, func() { e.forget(id, w) })
+	s := newStream(e.target, w, body, r.MaxTokens, lastEvent, func() { e.unregister(id, w) })
 	if r.Stream {
 		ctx.SetContentType("text/event-stream")
 		ctx.Response.SetBodyStream(s, -1)
 		return
 	}
 	ctx.SetContentType("application/json")
-	ctx.Response.SetBodyStream(&wholeReader{stream: s}, -1)
+	ctx.Response.SetBodyStream(&unstreamedReader{stream: s}, -1)
 }
 
-// resumePoint returns the number of the last event that the caller has and the
-// id of the stream to resume, if any. Work still running under it ends.
-func (e *engine) resumePoint(ctx *fasthttp.RequestCtx) (from int, id string, ok bool) {
+// resumePoint returns the number of the last event that the caller received and the id
+// of the stream to resume. The id is "" if the request is not a resume, and ok is false
+// if the stream cannot be resumed. Work still running for the stream is ended.
+func (e *engine) resumePoint(ctx *fasthttp.RequestCtx) (lastEvent int, id string, ok bool) {
 	id = string(ctx.Request.Header.Peek("X-Resume-Id"))
 	if id == "" {
 		return 0, "", true
 	}
 	n, err := strconv.Atoi(string(ctx.Request.Header.Peek("Last-Event-ID")))
-	if err != nil || n < 0 || e.t.spec.NoResume {
+	if err != nil || n < 0 || e.target.spec.NoResume {
 		return 0, "", false
 	}
-	boot := e.t.gate.report(time.Now()).Boot
+	boot := e.target.admission.loadReport(time.Now()).Boot
 	e.mu.Lock()
-	old, known := e.streams[id], e.known.has(boot, id)
+	old, resumable := e.streams[id], e.resumable.has(boot, id)
 	e.mu.Unlock()
-	if !known {
+	if !resumable {
 		return 0, "", false
 	}
 	if old != nil {
-		e.t.gate.finish(old, endAbandon)
+		e.target.admission.finish(old, outcomeAbandoned)
 	}
-	e.t.gate.mu.Lock()
-	e.t.gate.count.Resumed++
-	e.t.gate.mu.Unlock()
+	e.target.admission.mu.Lock()
+	e.target.admission.counters.Resumed++
+	e.target.admission.mu.Unlock()
 	return n, id, true
 }
 
-func (e *engine) newID(boot uint64) string {
+// newStreamID returns the id of a new stream, which can be resumed until the engine
+// restarts.
+func (e *engine) newStreamID(boot uint64) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.nextID++
-	id := fmt.Sprintf("%s-%d", e.t.spec.Name, e.nextID)
-	e.known.add(boot, id)
+	id := fmt.Sprintf("%s-%d", e.target.spec.Name, e.nextID)
+	e.resumable.add(boot, id)
 	return id
 }
 
-func (e *engine) keep(id string, w *work) {
+func (e *engine) register(id string, w *work) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.streams[id] = w
 }
 
-// forget drops a stream unless it was resumed as other work meanwhile.
-func (e *engine) forget(id string, w *work) {
+// unregister removes a stream, unless other work has resumed it meanwhile.
+func (e *engine) unregister(id string, w *work) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.streams[id] == w {
@@ -180,16 +185,16 @@
 	}
 }
 
-func (e *engine) cancelStream(ctx *fasthttp.RequestCtx, id string) {
+func (e *engine) serveCancel(ctx *fasthttp.RequestCtx, id string) {
 	e.mu.Lock()
 	w := e.streams[id]
 	e.mu.Unlock()
-	e.t.stateHeaders(ctx)
+	e.target.setStateHeaders(ctx)
 	if w == nil {
 		ctx.Error("unknown stream", fasthttp.StatusNotFound)
 		return
 	}
-	e.t.gate.finish(w, endCancel)
+	e.target.admission.finish(w, outcomeCancelled)
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
@@ -199,17 +204,17 @@
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
 	Role    string `json:"role,omitempty"`
-	Fence   uint64 `json:"fence"`
+	Fence   uint64 `json:"fence"` // fencing token
 }
 
-func (e *engine) order(ctx *fasthttp.RequestCtx) {
-	e.t.stateHeaders(ctx)
+func (e *engine) serveOrder(ctx *fasthttp.RequestCtx) {
+	e.target.setStateHeaders(ctx)
 	var o Order
 	if err := json.Unmarshal(ctx.PostBody(), &o); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	if !e.admitOrder(o) {
+	if !e.checkOrder(o) {
 		ctx.Error("stale fencing token", fasthttp.StatusConflict)
 		return
 	}
@@ -220,37 +225,39 @@
 			return
 		}
 	case "warm":
-		e.t.gate.orderWarm(time.Now())
+		e.target.admission.startWarmOrder(time.Now())
 	case "role":
 	default:
 		ctx.Error("unknown order", fasthttp.StatusBadRequest)
 		return
 	}
-	e.adopt(o)
+	e.applyOrder(o)
 	writeJSON(ctx, o)
 }
 
-// admitOrder counts an order and checks its fencing token if the engine does.
-func (e *engine) admitOrder(o Order) bool {
+// checkOrder counts an order and reports whether to execute it. An order with a stale
+// fencing token is refused only with ChecksFence.
+func (e *engine) checkOrder(o Order) bool {
 	e.mu.Lock()
-	stale := o.Fence < e.fence
-	e.fence = max(e.fence, o.Fence)
+	stale := o.Fence < e.fencingToken
+	e.fencingToken = max(e.fencingToken, o.Fence)
 	e.mu.Unlock()
-	g := e.t.gate
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.count.Orders++
-	if stale && e.t.spec.ChecksFence {
-		g.count.StaleRefused++
+	a := e.target.admission
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.counters.Orders++
+	if stale && e.target.spec.ChecksFence {
+		a.counters.StaleRefused++
 		return false
 	}
 	if stale {
-		g.count.StaleAccepted++
+		a.counters.StaleAccepted++
 	}
 	return true
 }
 
-func (e *engine) adopt(o Order) {
+// applyOrder records the model, version or role set by an order.
+func (e *engine) applyOrder(o Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch o.Order {
@@ -261,20 +268,21 @@
 	}
 }
 
-// fetchWeights gets the weights from the store and returns the HTTP status.
+// fetchWeights downloads the weights of an order from the weight store and returns the
+// HTTP status: 200 if there is no store, 502 if the store cannot be reached.
 func (e *engine) fetchWeights(o Order) int {
-	if e.t.spec.WeightStore == "" {
+	if e.target.spec.WeightStore == "" {
 		return fasthttp.StatusOK
 	}
-	code, _, err := e.fetching.GetTimeout(nil, e.t.spec.WeightStore+"/weights/"+o.Model+"/"+o.Version, 10*time.Second)
+	code, _, err := e.weightClient.GetTimeout(nil, e.target.spec.WeightStore+"/weights/"+o.Model+"/"+o.Version, 10*time.Second)
 	if err != nil {
 		code = fasthttp.StatusBadGateway
 	}
 	if code != fasthttp.StatusOK {
-		g := e.t.gate
-		g.mu.Lock()
-		g.count.LoadFailed++
-		g.mu.Unlock()
+		a := e.target.admission
+		a.mu.Lock()
+		a.counters.LoadFailed++
+		a.mu.Unlock()
 	}
 	return code
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -9,40 +9,43 @@
 	"github.com/valyala/fasthttp"
 )
 
-// FaultName names a scripted fault.
+// FaultName identifies a kind of fault.
 type FaultName string
 
-// Faults. Those with a duration end after it, or on FaultClear if it is 0.
+// Kinds of faults. A fault "for MS" ends after Fault.MS milliseconds, or on FaultClear if
+// MS is 0.
 const (
-	// FaultCold makes a target cold without warning; running work goes on.
+	// FaultCold makes a target cold without notice; running work continues.
 	FaultCold FaultName = "cold"
-	// FaultRestart restarts a target cold and cuts all its streams.
+	// FaultRestart restarts a target, which closes its connections and makes it cold.
 	FaultRestart FaultName = "restart"
-	// FaultCut closes the open connections; the target itself goes on.
+	// FaultCut closes the open connections without a restart of the target.
 	FaultCut FaultName = "cut"
-	// FaultSlow multiplies the time of all work by Factor for MS.
+	// FaultSlow multiplies the duration of all work by Factor, for MS.
 	FaultSlow FaultName = "slow"
-	// FaultDie restarts the target once After more events were sent (at least
-	// one), or in the middle of the next response of a plain service.
+	// FaultDie restarts the target once After more events (at least one) were
+	// sent. Each response of a plain service counts as one event, and the
+	// target restarts in the middle of it.
 	FaultDie FaultName = "die"
-	// FaultSilentBefore leaves requests unread for MS; the connections stay
-	// silent for good.
+	// FaultSilentBefore discards the requests that arrive, for MS. Their
+	// connections stay open and silent, also after the fault has ended.
 	FaultSilentBefore FaultName = "silent_before"
-	// FaultSilentAfter starts the work and then never responds, for MS.
+	// FaultSilentAfter starts the work of requests but sends no response, for MS.
 	FaultSilentAfter FaultName = "silent_after"
-	// FaultSilentOpen silences the connections open now for good.
+	// FaultSilentOpen makes the open connections silent until they are closed.
 	FaultSilentOpen FaultName = "silent_open"
-	// FaultRefuse closes the port for MS (default 1000).
+	// FaultRefuse closes the open connections and, for MS (0 = 1000), the port.
 	FaultRefuse FaultName = "refuse"
-	// FaultReset closes each connection at its first byte, for MS.
+	// FaultReset closes each data connection when it next receives bytes, for MS.
 	FaultReset FaultName = "reset"
-	// FaultLateReports adds DelayMS to the lag of load reports, for MS.
+	// FaultLateReports adds DelayMS to the age of load reports, for MS.
 	FaultLateReports FaultName = "late_reports"
-	// FaultClear ends all faults with a duration.
+	// FaultClear ends all faults "for MS" except FaultRefuse, and a pending
+	// FaultDie.
 	FaultClear FaultName = "clear"
 )
 
-// Fault is the body of POST /fault.
+// Fault is the body of POST /fault. Which fields apply depends on the kind.
 type Fault struct {
 	Fault   FaultName `json:"fault"`
 	MS      int       `json:"ms,omitempty"`
@@ -51,26 +54,26 @@
 	DelayMS int       `json:"delay_ms,omitempty"`
 }
 
-const defaultRefuse = time.Second
+const defaultRefuseTime = time.Second
 
-// faults holds the faults of one target that last.
+// faults holds the active faults of one target.
 type faults struct {
-	mu       sync.Mutex
-	until    map[FaultName]time.Time // zero time = until cleared
-	factor   float64
-	delay    time.Duration
-	dieAfter int
+	mu          sync.Mutex
+	until       map[FaultName]time.Time // zero time = until cleared
+	factor      float64
+	reportDelay time.Duration
+	crashAfter  int
 }
 
-func (f *faults) isOn(name FaultName) bool {
+func (f *faults) isActive(name FaultName) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.isOnLocked(name)
+	return f.isActiveLocked(name)
 }
 
-func (f *faults) isOnLocked(name FaultName) bool {
-	end, ok := f.until[name]
-	return ok && (end.IsZero() || time.Now().Before(end))
+func (f *faults) isActiveLocked(name FaultName) bool {
+	expiry, ok := f.until[name]
+	return ok && (expiry.IsZero() || time.Now().Before(expiry))
 }
 
 func (f *faults) set(x Fault) {
@@ -79,55 +82,57 @@
 	if f.until == nil {
 		f.until = map[FaultName]time.Time{}
 	}
-	var end time.Time
+	var expiry time.Time
 	if x.MS > 0 {
-		end = time.Now().Add(time.Duration(x.MS) * time.Millisecond)
+		expiry = time.Now().Add(time.Duration(x.MS) * time.Millisecond)
 	}
-	f.until[x.Fault] = end
+	f.until[x.Fault] = expiry
 	switch x.Fault {
 	case FaultSlow:
 		f.factor = max(1, x.Factor)
 	case FaultLateReports:
-		f.delay = time.Duration(x.DelayMS) * time.Millisecond
+		f.reportDelay = time.Duration(x.DelayMS) * time.Millisecond
 	case FaultDie:
-		f.dieAfter = max(1, x.After)
+		f.crashAfter = max(1, x.After)
 	}
 }
 
 func (f *faults) clear() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.until, f.dieAfter = nil, 0
+	f.until, f.crashAfter = nil, 0
 }
 
-// slowness returns the factor on all times of work.
-func (f *faults) slowness() float64 {
+// slowFactor returns the factor by which the duration of work is multiplied.
+func (f *faults) slowFactor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.isOnLocked(FaultSlow) {
+	if f.isActiveLocked(FaultSlow) {
 		return f.factor
 	}
 	return 1
 }
 
-func (f *faults) reportDelay() time.Duration {
+// extraReportLag returns the time that is added to the lag of load reports.
+func (f *faults) extraReportLag() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.isOnLocked(FaultLateReports) {
-		return f.delay
+	if f.isActiveLocked(FaultLateReports) {
+		return f.reportDelay
 	}
 	return 0
 }
 
-// sent counts events towards a scripted death and reports when it is due.
-func (f *faults) sent(events int) bool {
+// countEvents subtracts sent events from those left until the crash of FaultDie. It
+// returns true when the crash is due.
+func (f *faults) countEvents(events int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dieAfter == 0 {
+	if f.crashAfter == 0 {
 		return false
 	}
-	f.dieAfter = max(0, f.dieAfter-events)
-	return f.dieAfter == 0
+	f.crashAfter = max(0, f.crashAfter-events)
+	return f.crashAfter == 0
 }
 
 func (t *target) serveFault(ctx *fasthttp.RequestCtx) {
@@ -136,29 +141,29 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	if err := t.apply(x); err != nil {
+	if err := t.applyFault(x); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
 	writeJSON(ctx, x)
 }
 
-func (t *target) apply(x Fault) error {
+func (t *target) applyFault(x Fault) error {
 	switch x.Fault {
 	case FaultCold:
-		t.gate.turnCold()
+		t.admission.setCold()
 	case FaultRestart:
 		t.restart()
 	case FaultCut:
-		t.door.cut()
+		t.listener.cutConns()
 	case FaultSilentOpen:
-		t.door.silence()
+		t.listener.silenceConns()
 	case FaultRefuse:
-		pause := defaultRefuse
+		outage := defaultRefuseTime
 		if x.MS > 0 {
-			pause = time.Duration(x.MS) * time.Millisecond
+			outage = time.Duration(x.MS) * time.Millisecond
 		}
-		t.door.refuse(pause)
+		t.listener.refuse(outage)
 	case FaultClear:
 		t.faults.clear()
 	case FaultSlow, FaultDie, FaultSilentBefore, FaultSilentAfter, FaultReset, FaultLateReports:
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	maxBody        = 64 << 20 // bytes of a request body
-	sampleInterval = 50 * time.Millisecond
-	closeLimit     = 500 * time.Millisecond
+	maxBodyBytes    = 64 << 20 // of a request
+	sampleInterval  = 50 * time.Millisecond
+	shutdownTimeout = 500 * time.Millisecond
 )
 
-// Host runs stand-ins. Close ends them.
+// Host runs the stand-ins of one process until Close.
 type Host struct {
 	targets []*target
 	done    chan struct{}
-	wait    sync.WaitGroup
+	wg      sync.WaitGroup
 }
 
-// target is one stand-in.
+// target is one stand-in of any kind.
 type target struct {
-	spec   Spec
-	gate   *gate
-	door   *door
-	server *fasthttp.Server
-	runs   *runs
-	faults faults
-	lag    lagged[LoadReport]
-	// handle answers all paths that are not common to every kind.
+	spec        Spec
+	admission   *admission
+	listener    *faultListener
+	server      *fasthttp.Server
+	runCounts   *runCounts
+	faults      faults
+	loadHistory history[LoadReport]
+	// handle serves the paths that are specific to the kind.
 	handle func(*fasthttp.RequestCtx)
-	// kind holds the parts of one kind; nil for others.
-	engine   *engine
-	platform *platform
-	weights  *weights
+	// At most one of the following is set, according to the kind.
+	engine      *engine
+	platform    *platform
+	weightStore *weightStore
 }
 
-// Start opens all stand-ins or none.
+// Start validates the specs, listens on their addresses and serves all stand-ins.
+// If one of them fails, it stops the others and returns the error.
 func Start(specs []Spec) (*Host, error) {
 	h := &Host{done: make(chan struct{})}
 	for _, s := range specs {
@@ -50,43 +51,45 @@
 			return nil, err
 		}
 		h.targets = append(h.targets, t)
-		h.wait.Add(1)
+		h.wg.Add(1)
 		go func() {
-			defer h.wait.Done()
-			_ = t.server.Serve(t.door)
+			defer h.wg.Done()
+			_ = t.server.Serve(t.listener)
 		}()
 	}
-	h.wait.Add(1)
-	go h.sample()
+	h.wg.Add(1)
+	go h.sampleLoad()
 	return h, nil
 }
 
-// Addresses returns the addresses in the order of the specs.
+// Addresses returns the IP:port of each stand-in, in the order of the specs.
 func (h *Host) Addresses() []string {
 	var out []string
 	for _, t := range h.targets {
-		out = append(out, t.door.address)
+		out = append(out, t.listener.address)
 	}
 	return out
 }
 
-// Close cuts all connections and ends all goroutines.
+// Close stops all stand-ins, closes their connections and waits for the
+// goroutines of the host.
 func (h *Host) Close() {
 	close(h.done)
 	for _, t := range h.targets {
-		_ = t.door.Close()
-		t.gate.restart(time.Now())
-		t.door.each(func(c *faultConn) { _ = c.Close() })
-		ctx, cancel := context.WithTimeout(context.Background(), closeLimit)
+		_ = t.listener.Close()
+		t.admission.restart(time.Now())
+		t.listener.eachDataConn(func(c *faultConn) { _ = c.Close() })
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		_ = t.server.ShutdownWithContext(ctx)
 		cancel()
 	}
-	h.wait.Wait()
+	h.wg.Wait()
 }
 
-// sample records load reports, so that GET /load can answer with a lag.
-func (h *Host) sample() {
-	defer h.wait.Done()
+// sampleLoad records load reports periodically, so that GET /load can return one
+// of the past.
+func (h *Host) sampleLoad() {
+	defer h.wg.Done()
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
@@ -95,37 +98,39 @@
 			return
 		case now := <-tick.C:
 			for _, t := range h.targets {
-				t.lag.add(now, t.gate.report(now))
+				t.loadHistory.add(now, t.admission.loadReport(now))
 			}
 		}
 	}
 }
 
+// newTarget validates the spec and listens on its address, but does not serve yet.
 func newTarget(s Spec) (*target, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	s = s.withDefaults()
-	d, err := openDoor(s.Listen)
+	l, err := newFaultListener(s.Listen)
 	if err != nil {
 		return nil, err
 	}
-	t := &target{spec: s, gate: newGate(s), door: d, runs: newRuns()}
-	d.dropping = func() bool { return t.gate.down(time.Now()) || t.faults.isOn(FaultReset) }
-	d.silent = func() bool { return t.faults.isOn(FaultSilentBefore) }
+	t := &target{spec: s, admission: newAdmission(s), listener: l, runCounts: newRunCounts()}
+	l.shouldReset = func() bool { return t.admission.isDown(time.Now()) || t.faults.isActive(FaultReset) }
+	l.shouldSilence = func() bool { return t.faults.isActive(FaultSilentBefore) }
 	t.server = &fasthttp.Server{
 		Handler:               t.serve,
-		MaxRequestBodySize:    maxBody,
+		MaxRequestBodySize:    maxBodyBytes,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		Logger:                silentLog{},
+		Logger:                discardLogger{},
 	}
-	t.useKind()
-	t.lag.add(time.Now().Add(-time.Hour), t.gate.report(time.Now()))
+	t.initKind()
+	t.loadHistory.add(time.Now().Add(-time.Hour), t.admission.loadReport(time.Now()))
 	return t, nil
 }
 
-func (t *target) useKind() {
+// initKind sets the handler and the state of the kind.
+func (t *target) initKind() {
 	switch t.spec.Kind {
 	case KindEngine:
 		t.engine = newEngine(t)
@@ -136,12 +141,12 @@
 		t.platform = newPlatform(t.spec)
 		t.handle = t.platform.serve
 	case KindWeights:
-		t.weights = newWeights(t.spec)
-		t.handle = t.weights.serve
+		t.weightStore = newWeightStore(t.spec)
+		t.handle = t.weightStore.serve
 	}
 }
 
-// serve answers the common paths and passes the others on.
+// serve handles the paths common to all kinds and delegates the others to handle.
 func (t *target) serve(ctx *fasthttp.RequestCtx) {
 	if id := ctx.Request.Header.Peek("X-Request-Id"); len(id) > 0 {
 		ctx.Response.Header.SetBytesV("X-Request-Id", id)
@@ -152,7 +157,7 @@
 	case "/stats":
 		writeJSON(ctx, t.stats(string(ctx.QueryArgs().Peek("starts")) != "0"))
 	case "/runs":
-		writeJSON(ctx, t.runs.table(string(ctx.QueryArgs().Peek("by"))))
+		writeJSON(ctx, t.runCounts.table(string(ctx.QueryArgs().Peek("by"))))
 	case "/load":
 		t.serveLoad(ctx)
 	default:
@@ -166,45 +171,48 @@
 		return
 	}
 	now := time.Now()
-	lag := time.Duration(t.spec.ReportLagMs)*time.Millisecond + t.faults.reportDelay()
-	r, _ := t.lag.at(now.Add(-lag))
-	t.stateHeaders(ctx)
+	lag := time.Duration(t.spec.ReportLagMs)*time.Millisecond + t.faults.extraReportLag()
+	r, _ := t.loadHistory.valueAt(now.Add(-lag))
+	t.setStateHeaders(ctx)
 	writeJSON(ctx, r)
 }
 
-// stateHeaders tells the caller the present state and boot number.
-func (t *target) stateHeaders(ctx *fasthttp.RequestCtx) {
+// setStateHeaders adds the present state and boot number to the response, unless
+// the spec hides them.
+func (t *target) setStateHeaders(ctx *fasthttp.RequestCtx) {
 	if t.spec.HideState {
 		return
 	}
-	r := t.gate.report(time.Now())
+	r := t.admission.loadReport(time.Now())
 	ctx.Response.Header.Set("X-Target-State", r.State)
 	ctx.Response.Header.Set("X-Target-Boot", strconv.FormatUint(r.Boot, 10))
 }
 
-// restart fails the target: it is down for a moment, then cold, and all its
-// data connections are cut.
+// restart simulates a crash: it closes all data connections, keeps the target down
+// for RestartMs and makes it cold.
 func (t *target) restart() {
-	t.gate.restart(time.Now())
-	t.door.cut()
+	t.admission.restart(time.Now())
+	t.listener.cutConns()
 }
 
-// begin admits a request or tells the caller by a closed connection.
-func (t *target) begin(ctx *fasthttp.RequestCtx, tag string, resumes bool) *work {
-	w, breach := t.gate.admit(time.Now(), tag, resumes)
+// startWork admits a request. If the target is down or the request exceeds its
+// capacity, startWork closes the connection and returns nil; in the latter case
+// the target restarts.
+func (t *target) startWork(ctx *fasthttp.RequestCtx, tag string, resumes bool) *work {
+	w, breach := t.admission.admit(time.Now(), tag, resumes)
 	if breach {
 		t.restart()
 	}
 	if w == nil {
-		drop(ctx)
+		abort(ctx)
 		return nil
 	}
-	t.runs.add(tag, string(ctx.Request.Header.Peek("X-Request-Id")), string(ctx.Request.Header.Peek("Idempotency-Key")))
+	t.runCounts.add(tag, string(ctx.Request.Header.Peek("X-Request-Id")), string(ctx.Request.Header.Peek("Idempotency-Key")))
 	return w
 }
 
-// drop closes the connection without a response.
-func drop(ctx *fasthttp.RequestCtx) {
+// abort closes the connection of a request without a response.
+func abort(ctx *fasthttp.RequestCtx) {
 	conn := ctx.Conn()
 	_ = conn.Close()
 	ctx.SetConnectionClose()
@@ -220,38 +228,39 @@
 	ctx.SetBody(raw)
 }
 
-// silentLog drops fasthttp's lines about connections that the faults cut.
-type silentLog struct{}
+// discardLogger drops fasthttp's messages about connections closed by faults.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silentLog) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// lagged keeps the values of the last minute, so that an old one can be read.
-type lagged[T any] struct {
+// history keeps the values recorded in the last minute, for reads with a lag.
+type history[T any] struct {
 	mu     sync.Mutex
 	times  []time.Time
 	values []T
 }
 
-func (l *lagged[T]) add(now time.Time, v T) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.times, l.values = append(l.times, now), append(l.values, v)
-	old := 0
-	for old < len(l.times)-1 && now.Sub(l.times[old+1]) > time.Minute {
-		old++
+func (h *history[T]) add(now time.Time, v T) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.times, h.values = append(h.times, now), append(h.values, v)
+	expired := 0
+	for expired < len(h.times)-1 && now.Sub(h.times[expired+1]) > time.Minute {
+		expired++
 	}
-	l.times, l.values = l.times[old:], l.values[old:]
+	h.times, h.values = h.times[expired:], h.values[expired:]
 }
 
-// at returns the newest value that is not younger than when, and its time.
-func (l *lagged[T]) at(when time.Time) (v T, at time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i := len(l.times) - 1; i >= 0; i-- {
-		if i == 0 || !l.times[i].After(when) {
-			return l.values[i], l.times[i]
+// valueAt returns the newest value recorded at or before when, and the time of its
+// recording. If all values are newer, it returns the oldest one.
+func (h *history[T]) valueAt(when time.Time) (v T, recorded time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i := len(h.times) - 1; i >= 0; i-- {
+		if i == 0 || !h.times[i].After(when) {
+			return h.values[i], h.times[i]
 		}
 	}
-	return v, at
+	return v, recorded
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -10,28 +10,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ShownChange is the wall time from which the list shows a changed state.
+// ShownChange is a state change of an instance and the wall time from which the list
+// shows it.
 type ShownChange struct {
 	Name   string `json:"name"`
 	State  string `json:"state"`
 	UnixMs int64  `json:"unix_ms"`
 }
 
-// platform is the platform's list of target instances, which lags.
-// POST /instances with a list replaces it; POST /instances with a single
-// {"name","state"} object changes one entry.
+// platform serves the platform's list of target instances. GET /instances returns the
+// list as it was one lag ago. POST /instances with a list replaces it; with a single
+// {"name","state"} object it changes one entry.
 type platform struct {
-	lag  time.Duration
-	list lagged[[]Instance]
+	lag     time.Duration
+	history history[[]Instance]
 
 	mu      sync.Mutex
-	now     []Instance
+	current []Instance
 	changes []ShownChange
 }
 
 func newPlatform(s Spec) *platform {
-	p := &platform{lag: time.Duration(s.ReportLagMs) * time.Millisecond, now: s.Instances}
-	p.list.add(time.Now().Add(-time.Hour), s.Instances)
+	p := &platform{lag: time.Duration(s.ReportLagMs) * time.Millisecond, current: s.Instances}
+	p.history.add(time.Now().Add(-time.Hour), s.Instances)
 	return p
 }
 
@@ -44,7 +45,7 @@
 		p.post(ctx)
 		return
 	}
-	list, _ := p.list.at(time.Now().Add(-p.lag))
+	list, _ := p.history.valueAt(time.Now().Add(-p.lag))
 	if list == nil {
 		list = []Instance{}
 	}
@@ -53,10 +54,10 @@
 
 func (p *platform) post(ctx *fasthttp.RequestCtx) {
 	var list []Instance
-	var one Instance
+	var entry Instance
 	if err := json.Unmarshal(ctx.PostBody(), &list); err == nil {
 		p.replace(list)
-	} else if err := json.Unmarshal(ctx.PostBody(), &one); err != nil || !p.change(one) {
+	} else if err := json.Unmarshal(ctx.PostBody(), &entry); err != nil || !p.changeState(entry) {
 		ctx.Error("want a list, or the name and state of one instance", fasthttp.StatusBadRequest)
 		return
 	}
@@ -66,20 +67,21 @@
 func (p *platform) replace(list []Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.now = list
-	p.list.add(time.Now(), list)
+	p.current = list
+	p.history.add(time.Now(), list)
 }
 
-func (p *platform) change(x Instance) bool {
+// changeState sets the state of an instance and reports whether the list contains it.
+func (p *platform) changeState(x Instance) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := append([]Instance(nil), p.now...)
+	next := append([]Instance(nil), p.current...)
 	for i := range next {
 		if next[i].Name == x.Name {
 			next[i].State = x.State
-			p.now = next
+			p.current = next
 			now := time.Now()
-			p.list.add(now, next)
+			p.history.add(now, next)
 			p.changes = append(p.changes, ShownChange{x.Name, x.State, now.Add(p.lag).UnixMilli()})
 			return true
 		}
@@ -87,8 +89,8 @@
 	return false
 }
 
-// shown returns the changes that the list shows by now.
-func (p *platform) shown(now time.Time) []ShownChange {
+// visibleChanges returns the changes that GET /instances shows at now.
+func (p *platform) visibleChanges(now time.Time) []ShownChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []ShownChange
@@ -100,60 +102,62 @@
 	return out
 }
 
-// WeightStats counts the downloads of a weight store.
+// WeightStats counts the requests to a weight store: those served, and those refused by
+// the rate limit.
 type WeightStats struct {
 	Served  uint64 `json:"served"`
 	Limited uint64 `json:"limited"`
 }
 
-// weights is the weight store: a token bucket in front of fixed bytes.
-type weights struct {
-	perSecond float64
-	burst     float64
-	size      int
+// weightStore serves weights of a fixed size, limited by a token bucket.
+type weightStore struct {
+	ratePerSecond float64
+	burst         float64
+	downloadBytes int
 
-	mu     sync.Mutex
-	tokens float64
-	last   time.Time
-	count  WeightStats
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	counters   WeightStats
 }
 
-func newWeights(s Spec) *weights {
-	return &weights{perSecond: s.WeightsPerSecond, burst: float64(s.WeightsBurst), size: s.WeightBytes,
-		tokens: float64(s.WeightsBurst), last: time.Now()}
+func newWeightStore(s Spec) *weightStore {
+	return &weightStore{ratePerSecond: s.WeightsPerSecond, burst: float64(s.WeightsBurst), downloadBytes: s.WeightBytes,
+		tokens: float64(s.WeightsBurst), refilledAt: time.Now()}
 }
 
-func (w *weights) serve(ctx *fasthttp.RequestCtx) {
+func (w *weightStore) serve(ctx *fasthttp.RequestCtx) {
 	if parts := strings.Split(string(ctx.Path()), "/"); len(parts) != 4 || parts[1] != "weights" {
 		ctx.Error("want /weights/{model}/{version}", fasthttp.StatusNotFound)
 		return
 	}
-	if wait := w.take(time.Now()); wait > 0 {
+	if wait := w.takeToken(time.Now()); wait > 0 {
 		ctx.Error("rate limit", fasthttp.StatusTooManyRequests)
 		seconds := int64((wait + time.Second - 1) / time.Second)
 		ctx.Response.Header.Set("Retry-After", strconv.FormatInt(seconds, 10))
 		return
 	}
-	ctx.SetBody(make([]byte, w.size))
+	ctx.SetBody(make([]byte, w.downloadBytes))
 }
 
-// take uses one token or returns the time until there is one.
-func (w *weights) take(now time.Time) time.Duration {
+// takeToken takes one token from the bucket and returns 0, or returns the time until one
+// is available.
+func (w *weightStore) takeToken(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.tokens = min(w.burst, w.tokens+now.Sub(w.last).Seconds()*w.perSecond)
-	w.last = now
+	w.tokens = min(w.burst, w.tokens+now.Sub(w.refilledAt).Seconds()*w.ratePerSecond)
+	w.refilledAt = now
 	if w.tokens < 1 {
-		w.count.Limited++
-		return time.Duration((1 - w.tokens) / w.perSecond * float64(time.Second))
+		w.counters.Limited++
+		return time.Duration((1 - w.tokens) / w.ratePerSecond * float64(time.Second))
 	}
 	w.tokens--
-	w.count.Served++
+	w.counters.Served++
 	return 0
 }
 
-func (w *weights) stats() WeightStats {
+func (w *weightStore) stats() WeightStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.count
+	return w.counters
 }
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is a TCP relay for tests. It stands between two instances, or
-// an instance and a target, and produces the faults of a network: cuts in one
-// or both directions, connections that go silent, and delay.
+// Package relay is a TCP proxy that injects network faults in tests. It forwards
+// connections between two instances, or between an instance and a target, and can
+// block one or both directions, silence connections, refuse them, or add delay.
 package relay
 
 import (
@@ -9,127 +9,128 @@
 	"time"
 )
 
-// Direction selects the bytes that a fault affects.
+// Direction is a set of directions of traffic that a fault affects.
 type Direction int
 
-// Directions of bytes.
+// Directions of traffic.
 const (
 	ToTarget Direction = 1 << iota // from the dialling side to the target
 	ToClient                       // from the target to the dialling side
 	Both     = ToTarget | ToClient
 )
 
-// chunkSize is the size of one forwarded read in bytes.
+// chunkSize is the maximum size of one forwarded read in bytes.
 const chunkSize = 32 << 10
 
-// Relay forwards TCP connections to a target. All methods are safe for
+// Relay forwards TCP connections to a target address. All methods are safe for
 // concurrent use.
 type Relay struct {
 	listener net.Listener
 	wg       sync.WaitGroup
 
-	mu     sync.Mutex
-	target string
-	cut    Direction // bytes of these directions are held back
-	down   bool      // connections are closed and refused
-	delay  time.Duration
-	conns  map[*pair]bool
-	opened int
-	wake   chan struct{} // closed and replaced on every change
-	closed bool
+	mu       sync.Mutex
+	target   string
+	cut      Direction // directions in which no bytes are forwarded
+	down     bool      // new connections are closed on accept
+	delay    time.Duration
+	conns    map[*forwardedConn]bool
+	accepted int
+	changed  chan struct{} // closed and replaced on every change of the state
+	closed   bool
 }
 
-// pair is one forwarded connection.
-type pair struct {
+// forwardedConn is one forwarded connection.
+type forwardedConn struct {
 	client, server net.Conn
-	silent         bool // no byte passes any more, the connection stays open
+	silent         bool // stays open, but no more bytes are forwarded
 }
 
-func (p *pair) close() {
-	_ = p.client.Close()
-	if p.server != nil {
-		_ = p.server.Close()
+func (fc *forwardedConn) close() {
+	_ = fc.client.Close()
+	if fc.server != nil {
+		_ = fc.server.Close()
 	}
 }
 
-// New listens on a free port of the loopback address. The target may be set
-// later with SetTarget.
+// New starts a relay on a free port of 127.0.0.1 that forwards to target, an IP:port.
+// The target may be changed with SetTarget. New returns an error if it cannot listen.
 func New(target string) (*Relay, error) { return NewAt("127.0.0.1:0", target) }
 
-// NewAt listens on a given address.
+// NewAt starts a relay as New does, but listens on the given IP:port.
 func NewAt(address, target string) (*Relay, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, target: target, conns: map[*pair]bool{}, wake: make(chan struct{})}
+	r := &Relay{listener: l, target: target, conns: map[*forwardedConn]bool{}, changed: make(chan struct{})}
 	r.wg.Add(1)
 	go r.accept()
 	return r, nil
 }
 
-// Addr returns the address to dial.
+// Addr returns the IP:port at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetTarget changes the target of new connections.
-func (r *Relay) SetTarget(address string) { r.change(func() { r.target = address }) }
+// SetTarget changes the address to which new connections are forwarded.
+func (r *Relay) SetTarget(address string) { r.update(func() { r.target = address }) }
 
-// Cut holds back all bytes of a direction, on open and new connections, until
-// Heal. Connections stay open, as in a partition that drops packets.
-func (r *Relay) Cut(d Direction) { r.change(func() { r.cut |= d }) }
+// Cut stops forwarding the bytes of a direction, on open and new connections, until
+// Heal. Connections stay open, as in a network partition that drops packets.
+func (r *Relay) Cut(d Direction) { r.update(func() { r.cut |= d }) }
 
-// Down closes all connections and refuses new ones until Heal.
+// Down closes all connections, and new ones on accept, until Heal.
 func (r *Relay) Down() {
-	r.change(func() {
+	r.update(func() {
 		r.down = true
-		for p := range r.conns {
-			p.close()
+		for fc := range r.conns {
+			fc.close()
 		}
 	})
 }
 
-// Heal ends Cut and Down. Bytes held back are then forwarded; connections made
-// silent stay so.
-func (r *Relay) Heal() { r.change(func() { r.cut, r.down = 0, false }) }
+// Heal ends Cut and Down. Bytes received during a cut are then forwarded. Connections
+// silenced by Silence remain silent.
+func (r *Relay) Heal() { r.update(func() { r.cut, r.down = 0, false }) }
 
-// Silence makes the open connections silent for good. New ones work.
+// Silence stops forwarding on the open connections permanently, and keeps them open. New
+// connections are not affected.
 func (r *Relay) Silence() {
-	r.change(func() {
-		for p := range r.conns {
-			p.silent = true
+	r.update(func() {
+		for fc := range r.conns {
+			fc.silent = true
 		}
 	})
 }
 
-// Delay delays every chunk of bytes by d in both directions.
-func (r *Relay) Delay(d time.Duration) { r.change(func() { r.delay = d }) }
+// Delay delays the bytes read from now on by d, in both directions.
+func (r *Relay) Delay(d time.Duration) { r.update(func() { r.delay = d }) }
 
 // Opened returns the number of connections accepted so far.
 func (r *Relay) Opened() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.opened
+	return r.accepted
 }
 
-// Close ends the relay and all connections.
+// Close closes the listener and all connections and waits for the relay's goroutines.
 func (r *Relay) Close() {
-	r.change(func() {
+	r.update(func() {
 		r.closed = true
-		for p := range r.conns {
-			p.close()
+		for fc := range r.conns {
+			fc.close()
 		}
 	})
 	_ = r.listener.Close()
 	r.wg.Wait()
 }
 
-// change applies f and wakes the forwarders that wait.
-func (r *Relay) change(f func()) {
+// update changes the state with f and notifies the waiting forwarders.
+func (r *Relay) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
-	close(r.wake)
-	r.wake = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 func (r *Relay) accept() {
@@ -139,82 +140,83 @@
 		if err != nil {
 			return
 		}
-		p := &pair{client: c}
-		if !r.add(p) {
-			p.close()
+		fc := &forwardedConn{client: c}
+		if !r.register(fc) {
+			fc.close()
 			continue
 		}
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.serve(p)
+			r.serve(fc)
 		}()
 	}
 }
 
-func (r *Relay) add(p *pair) bool {
+// register adds a connection, unless the relay is down or closed.
+func (r *Relay) register(fc *forwardedConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down || r.closed {
 		return false
 	}
-	r.conns[p] = true
-	r.opened++
+	r.conns[fc] = true
+	r.accepted++
 	return true
 }
 
-// serve dials the target and forwards until one side ends.
-func (r *Relay) serve(p *pair) {
+// serve dials the target and forwards both directions until the connection ends.
+func (r *Relay) serve(fc *forwardedConn) {
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
 	server, err := net.DialTimeout("tcp", target, time.Second)
 	r.mu.Lock()
-	p.server = server
-	ok := err == nil && r.conns[p] && !r.down && !r.closed
+	fc.server = server
+	ok := err == nil && r.conns[fc] && !r.down && !r.closed
 	r.mu.Unlock()
 	if server == nil {
-		p.server = nil
+		fc.server = nil
 	}
 	var wg sync.WaitGroup
 	if ok {
-		wg.Go(func() { r.forward(p, ToTarget, p.client, server) })
-		wg.Go(func() { r.forward(p, ToClient, server, p.client) })
+		wg.Go(func() { r.forward(fc, ToTarget, fc.client, server) })
+		wg.Go(func() { r.forward(fc, ToClient, server, fc.client) })
 		wg.Wait()
 	}
 	r.mu.Lock()
-	delete(r.conns, p)
+	delete(r.conns, fc)
 	if err == nil {
 		_ = server.Close()
 	}
-	_ = p.client.Close()
+	_ = fc.client.Close()
 	r.mu.Unlock()
 }
 
-// chunk is a read that is forwarded at a time.
+// chunk is the result of one read and the time at which to forward it.
 type chunk struct {
 	bytes []byte
-	at    time.Time
+	due   time.Time
 }
 
-// forward copies one direction. The queue between reader and writer lets the
-// delay apply to each chunk without reducing throughput.
-func (r *Relay) forward(p *pair, d Direction, from, to net.Conn) {
+// forward copies the bytes of one direction. A queue between the reader and the writer
+// applies the delay to each chunk without reducing the throughput.
+func (r *Relay) forward(fc *forwardedConn, d Direction, from, to net.Conn) {
 	queue := make(chan chunk, 1024)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for c := range queue {
-			time.Sleep(time.Until(c.at))
-			if !r.pass(p, d) {
+			time.Sleep(time.Until(c.due))
+			if !r.waitUntilPassable(fc, d) {
 				break
 			}
 			if _, err := to.Write(c.bytes); err != nil {
 				break
 			}
 		}
-		r.closePair(p)
-		for range queue { // lets the reader end
+		r.closeConn(fc)
+		for range queue { // unblocks the reader
 		}
 	}()
 	buf := make([]byte, chunkSize)
@@ -231,10 +233,10 @@
 	}
 }
 
-func (r *Relay) closePair(p *pair) {
+func (r *Relay) closeConn(fc *forwardedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p.close()
+	fc.close()
 }
 
 func (r *Relay) currentDelay() time.Duration {
@@ -243,21 +245,21 @@
 	return r.delay
 }
 
-// pass waits while the direction is cut or the connection is silent. It returns
-// false once the connection has ended.
-func (r *Relay) pass(p *pair, d Direction) bool {
+// waitUntilPassable waits while the direction is cut or the connection is silent. It
+// returns false once the connection has ended.
+func (r *Relay) waitUntilPassable(fc *forwardedConn, d Direction) bool {
 	for {
 		r.mu.Lock()
-		ended := r.closed || r.down || !r.conns[p]
-		held := p.silent || r.cut&d != 0
-		wake := r.wake
+		ended := r.closed || r.down || !r.conns[fc]
+		blocked := fc.silent || r.cut&d != 0
+		changed := r.changed
 		r.mu.Unlock()
 		if ended {
 			return false
 		}
-		if !held {
+		if !blocked {
 			return true
 		}
-		<-wake
+		<-changed
 	}
 }
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against faults that the relay does not produce, which would make the
-// tests that rely on them pass for nothing.
+// Guards against faults that the relay does not inject, with which the tests that rely on
+// them would pass without testing anything.
 func TestFaults(t *testing.T) {
 	is := is.New(t)
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 		is.NoErr(err)
 		return c
 	}
-	// answers reports whether a byte returns within the limit.
-	answers := func(c net.Conn, limit time.Duration) bool {
+	// answers reports whether a byte sent to the echo server returns within the limit.
+	echoes := func(c net.Conn, limit time.Duration) bool {
 		_, _ = c.Write([]byte("x"))
 		_ = c.SetReadDeadline(time.Now().Add(limit))
 		_, err := io.ReadFull(c, make([]byte, 1))
@@ -43,30 +43,30 @@
 	const long, short = 10 * time.Second, 100 * time.Millisecond
 	c := dial()
 	defer c.Close()
-	is.True(answers(c, long))
+	is.True(echoes(c, long))
 	for _, d := range []Direction{ToTarget, ToClient, Both} {
 		r.Cut(d)
-		is.True(!answers(c, short))
+		is.True(!echoes(c, short))
 		r.Heal()
-		is.True(answers(c, long)) // the byte held back
+		is.True(echoes(c, long)) // the byte sent during the cut
 		_, err = io.ReadFull(c, make([]byte, 1))
 		is.NoErr(err)
 	}
 	r.Delay(50 * time.Millisecond)
 	begin := time.Now()
-	is.True(answers(c, long))
-	is.True(time.Since(begin) >= 100*time.Millisecond) // both ways
+	is.True(echoes(c, long))
+	is.True(time.Since(begin) >= 100*time.Millisecond) // 50 ms in each direction
 	r.Delay(0)
 	r.Silence()
-	is.True(!answers(c, short))
+	is.True(!echoes(c, short))
 	second := dial()
 	defer second.Close()
-	is.True(answers(second, long)) // new connections work
+	is.True(echoes(second, long)) // new connections work
 	r.Down()
-	is.True(!answers(second, long)) // closed
+	is.True(!echoes(second, long)) // closed
 	r.Heal()
 	third := dial()
 	defer third.Close()
-	is.True(answers(third, long))
+	is.True(echoes(third, long))
 	is.Equal(r.Opened(), 3)
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -8,57 +8,60 @@
 	"github.com/valyala/fasthttp"
 )
 
-// CallRequest is what a plain service reads of a request body, if it is JSON.
+// CallRequest holds the fields of a request body that a plain service reads, if the body
+// is JSON.
 type CallRequest struct {
-	// User is the request tag under which the run is recorded.
+	// User is the request tag under which GET /runs counts the request.
 	User string `json:"user"`
-	// WorkMs is the service time; 0 = the target's default.
+	// WorkMs is the service time in ms; 0 = the ServiceMs of the target.
 	WorkMs int `json:"work_ms"`
-	// AnswerBytes is the least size of the response; 0 = one token.
+	// AnswerBytes is the minimum size of the response in bytes; 0 = one token.
 	AnswerBytes int `json:"answer_bytes"`
 }
 
-const maxAnswer = 16 << 20 // bytes
+const maxResponseBytes = 16 << 20
 
-// serveCall answers any path of a plain service.
+// serveCall handles a request to any path of a plain service.
 func (t *target) serveCall(ctx *fasthttp.RequestCtx) {
 	body := append([]byte(nil), ctx.PostBody()...)
 	var r CallRequest
-	_ = json.Unmarshal(body, &r) // other bodies are fine too
-	w := t.begin(ctx, r.User, false)
+	_ = json.Unmarshal(body, &r) // the body may have any other format
+	w := t.startWork(ctx, r.User, false)
 	if w == nil {
 		return
 	}
-	if t.faults.isOn(FaultSilentAfter) {
-		t.hold(ctx, w)
+	if t.faults.isActive(FaultSilentAfter) {
+		t.holdResponse(ctx, w)
 		return
 	}
-	if !t.workFor(r.WorkMs, w) {
-		drop(ctx)
+	if !t.simulateWork(r.WorkMs, w) {
+		abort(ctx)
 		return
 	}
-	t.answerCall(ctx, w, ServiceBody(body, min(r.AnswerBytes, maxAnswer)))
+	t.respondToCall(ctx, w, ServiceBody(body, min(r.AnswerBytes, maxResponseBytes)))
 }
 
-func (t *target) answerCall(ctx *fasthttp.RequestCtx, w *work, answer []byte) {
-	t.stateHeaders(ctx)
+// respondToCall sends the response, or the first half of it if a crash is due.
+func (t *target) respondToCall(ctx *fasthttp.RequestCtx, w *work, response []byte) {
+	t.setStateHeaders(ctx)
 	ctx.SetContentType("application/json")
-	if t.faults.sent(1) {
-		// The head promises the whole length, the body stops half way.
+	if t.faults.countEvents(1) {
+		// The Content-Length is that of the whole response, the body ends half way.
 		ctx.Response.ImmediateHeaderFlush = true
-		ctx.Response.SetBodyStream(&cutReader{t: t, half: answer[:len(answer)/2]}, len(answer))
+		ctx.Response.SetBodyStream(&truncatedReader{target: t, remaining: response[:len(response)/2]}, len(response))
 		return
 	}
-	t.gate.finish(w, endComplete)
-	ctx.SetBody(answer)
+	t.admission.finish(w, outcomeCompleted)
+	ctx.SetBody(response)
 }
 
-// workFor takes the service time and reports false if the work was ended.
-func (t *target) workFor(ms int, w *work) bool {
+// simulateWork waits for ms milliseconds of service time, or for ServiceMs if ms is not
+// positive. It returns false if the work was ended meanwhile.
+func (t *target) simulateWork(ms int, w *work) bool {
 	if ms <= 0 {
 		ms = t.spec.ServiceMs
 	}
-	timer := time.NewTimer(time.Duration(float64(ms) * t.faults.slowness() * float64(time.Millisecond)))
+	timer := time.NewTimer(time.Duration(float64(ms) * t.faults.slowFactor() * float64(time.Millisecond)))
 	defer timer.Stop()
 	select {
 	case <-w.cancel:
@@ -68,19 +71,19 @@
 	}
 }
 
-// cutReader gives half of a response and then fails the target.
-type cutReader struct {
-	t    *target
-	half []byte
+// truncatedReader returns the first half of a response and then restarts the target.
+type truncatedReader struct {
+	target    *target
+	remaining []byte
 }
 
 // Read implements io.Reader.
-func (r *cutReader) Read(p []byte) (int, error) {
-	if len(r.half) == 0 {
-		r.t.restart()
+func (r *truncatedReader) Read(p []byte) (int, error) {
+	if len(r.remaining) == 0 {
+		r.target.restart()
 		return 0, io.ErrUnexpectedEOF
 	}
-	n := copy(p, r.half)
-	r.half = r.half[n:]
+	n := copy(p, r.remaining)
+	r.remaining = r.remaining[n:]
 	return n, nil
 }
--- a/internal/standin/spec.go
+++ b/internal/standin/spec.go
@@ -20,69 +20,80 @@
 	KindWeights  Kind = "weights"
 )
 
-// Spec describes one stand-in. Zero values mean the defaults given below.
+// Spec configures one stand-in. A zero value selects the default of the field.
 type Spec struct {
 	Name   string `json:"name"`
 	Kind   Kind   `json:"kind"`
-	Listen string `json:"listen"` // IP:port
+	Listen string `json:"listen"` // IP:port; port 0 picks a free one
 
-	// WarmCapacity and ColdCapacity are concurrent requests; 0 = 8 and 2.
+	// WarmCapacity and ColdCapacity are the numbers of concurrent requests that
+	// a warm and a cold target accepts; 0 = 8 and 2.
 	WarmCapacity int `json:"warm_capacity,omitempty"`
 	ColdCapacity int `json:"cold_capacity,omitempty"`
-	// WarmAfter is the number of completions that warm a cold target; 0 = 4.
+	// WarmAfter is the number of completed requests after which a cold target
+	// becomes warm; 0 = 4.
 	WarmAfter int `json:"warm_after,omitempty"`
-	// WarmMs is how long a warm order takes; 0 = 500.
+	// WarmMs is the duration of a "warm" order in ms; 0 = 500.
 	WarmMs int `json:"warm_ms,omitempty"`
-	// RestartMs is how long a failed target accepts no connection; 0 = 200.
+	// RestartMs is the time in ms for which a restarted target closes every
+	// data connection; 0 = 200.
 	RestartMs int `json:"restart_ms,omitempty"`
 	// StartWarm starts the target warm, for baselines without a ramp.
 	StartWarm bool `json:"start_warm,omitempty"`
 
-	// PaceUs is the time of one token of a batch of one, in µs; 0 = 5000.
+	// PaceUs is the time per token of a single sequence in µs; 0 = 5000.
 	PaceUs int `json:"pace_us,omitempty"`
-	// PerSequenceUs is added for each other sequence of the batch; 0 = 100.
+	// PerSequenceUs is added to the time per token, in µs, for each other
+	// sequence of the batch; 0 = 100.
 	PerSequenceUs int `json:"per_sequence_us,omitempty"`
-	// ServiceMs is the service time of a plain call that names none; 0 = 5.
+	// ServiceMs is the service time in ms of a plain request that does not
+	// set its own; 0 = 5.
 	ServiceMs int `json:"service_ms,omitempty"`
 
-	// ReportLagMs delays load reports and the platform's list; 0 = 500.
+	// ReportLagMs is the age in ms of load reports and of the platform's
+	// list; 0 = 500.
 	ReportLagMs int `json:"report_lag_ms,omitempty"`
-	// CacheLagMs delays cache events; 0 = 1000.
+	// CacheLagMs is the delay in ms of prompt cache events; 0 = 1000.
 	CacheLagMs int `json:"cache_lag_ms,omitempty"`
-	// CacheGap drops every n-th cache event; 0 = 7.
+	// CacheGap drops every n-th prompt cache event; 0 = 7, and less than 2
+	// means 2.
 	CacheGap int `json:"cache_gap,omitempty"`
-	// ChecksFence refuses orders with a stale fencing token.
+	// ChecksFence makes an engine refuse orders with a stale fencing token.
 	ChecksFence bool `json:"checks_fence,omitempty"`
 	// NoResume makes an engine refuse resumed streams.
 	NoResume bool `json:"no_resume,omitempty"`
-	// HideState omits the X-Target headers and GET /load.
+	// HideState omits the X-Target-State and X-Target-Boot headers and GET /load.
 	HideState bool `json:"hide_state,omitempty"`
-	// WeightStore is the base URL from which a load order fetches; "" = none.
+	// WeightStore is the base URL from which a "load" order downloads the
+	// weights; "" = no download.
 	WeightStore string `json:"weight_store,omitempty"`
 
-	// WeightsPerSecond and WeightsBurst limit the weight store; 0 = 2 and 2.
+	// WeightsPerSecond and WeightsBurst are the rate and the size of the weight
+	// store's token bucket, in downloads; 0 = 2 and 2.
 	WeightsPerSecond float64 `json:"weights_per_second,omitempty"`
 	WeightsBurst     int     `json:"weights_burst,omitempty"`
-	// WeightBytes is the size of one download; 0 = 4096.
+	// WeightBytes is the size of one download in bytes; 0 = 4096.
 	WeightBytes int `json:"weight_bytes,omitempty"`
 
-	// Instances is the first list of a platform stand-in.
+	// Instances is the initial list of a platform stand-in.
 	Instances []Instance `json:"instances,omitempty"`
 }
 
-// Instance is one entry of the platform's list.
+// Instance is one entry of the platform's instance list.
 type Instance struct {
 	Name    string `json:"name"`
-	Address string `json:"address"`
-	State   string `json:"state"` // live or leaving
+	Address string `json:"address"` // IP:port
+	State   string `json:"state"`   // live or leaving
 }
 
-// File is the JSON file that lists the stand-ins of one process.
+// File is the content of the JSON file that lists the stand-ins of one process.
 type File struct {
 	Targets []Spec `json:"targets"`
 }
 
-// LoadFile reads a JSON file with comments.
+// LoadFile reads the stand-ins of a File, in which comments and trailing commas
+// are allowed. It returns an error if the file cannot be read or parsed, and
+// does not validate the stand-ins.
 func LoadFile(path string) ([]Spec, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -99,7 +110,8 @@
 	return f.Targets, nil
 }
 
-func (s Spec) check() error {
+// validate checks the name, the kind and the listen address.
+func (s Spec) validate() error {
 	if s.Name == "" {
 		return errors.New("stand-in without a name")
 	}
@@ -112,7 +124,7 @@
 	return errors.Wrapf(err, "stand-in %s: listen", s.Name)
 }
 
-// withDefaults replaces zero values.
+// withDefaults returns a copy with the defaults in place of zero values.
 func (s Spec) withDefaults() Spec {
 	for _, d := range []struct {
 		field    *int
--- a/internal/standin/stats.go
+++ b/internal/standin/stats.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Stats is the answer of GET /stats.
+// Stats is the response to GET /stats.
 type Stats struct {
 	Name         string `json:"name"`
 	Kind         Kind   `json:"kind"`
@@ -15,80 +15,87 @@
 	WarmCapacity int    `json:"warm_capacity"`
 	ColdCapacity int    `json:"cold_capacity"`
 	Counters
+	// BreachList holds the details of the first breaches.
 	BreachList []Breach `json:"breach_list,omitempty"`
-	// StartsMs are the wall times of the newest starts of new work, oldest first;
-	// resumed streams are not among them.
+	// StartsMs are the wall times, in Unix ms, at which the newest requests
+	// started, in the order of their start. Resumed streams are left out.
 	StartsMs []int64 `json:"starts_ms,omitempty"`
 	// Weights counts the downloads of a weight store.
 	Weights *WeightStats `json:"weights,omitempty"`
-	// Shown tells when a platform's list showed its changes.
+	// Shown lists the state changes that a platform's list shows by now.
 	Shown []ShownChange `json:"shown,omitempty"`
 }
 
+// stats returns a snapshot of the counters, with StartsMs only on request.
 func (t *target) stats(withStarts bool) Stats {
 	now := time.Now()
-	r := t.gate.report(now)
-	g := t.gate
-	g.mu.Lock()
+	r := t.admission.loadReport(now)
+	a := t.admission
+	a.mu.Lock()
 	s := Stats{
 		Name: t.spec.Name, Kind: t.spec.Kind, State: r.State, Boot: r.Boot, Running: r.Running,
 		WarmCapacity: t.spec.WarmCapacity, ColdCapacity: t.spec.ColdCapacity,
-		Counters: g.count, BreachList: append([]Breach(nil), g.breaches...),
+		Counters: a.counters, BreachList: append([]Breach(nil), a.breaches...),
 	}
 	if withStarts {
-		s.StartsMs = append(append([]int64(nil), g.starts[g.startAt:]...), g.starts[:g.startAt]...)
+		s.StartsMs = append(append([]int64(nil), a.startsMs[a.oldestStart:]...), a.startsMs[:a.oldestStart]...)
 	}
-	g.mu.Unlock()
-	if t.weights != nil {
-		w := t.weights.stats()
+	a.mu.Unlock()
+	if t.weightStore != nil {
+		w := t.weightStore.stats()
 		s.Weights = &w
 	}
 	if t.platform != nil {
-		s.Shown = t.platform.shown(now)
+		s.Shown = t.platform.visibleChanges(now)
 	}
 	return s
 }
 
-// runs counts the starts of work by name, so that doubled and lost runs show.
-type runs struct {
+// runCounts counts started requests by tag, request id and idempotency key, so that tests
+// detect requests that ran twice or not at all.
+type runCounts struct {
 	mu      sync.Mutex
 	tables  map[string]map[string]int
 	dropped uint64
 }
 
-// RunTable is the answer of GET /runs?by=tag|request|key.
+// RunTable is the response to GET /runs?by=tag|request|key: the number of requests started
+// by name.
 type RunTable struct {
 	Runs map[string]int `json:"runs"`
-	// Dropped counts names that the bounded table could not take.
+	// Dropped counts starts that are missing in one of the three tables because it
+	// was full.
 	Dropped uint64 `json:"dropped"`
 }
 
-func newRuns() *runs {
-	return &runs{tables: map[string]map[string]int{"tag": {}, "request": {}, "key": {}}}
+func newRunCounts() *runCounts {
+	return &runCounts{tables: map[string]map[string]int{"tag": {}, "request": {}, "key": {}}}
 }
 
-func (r *runs) add(tag, request, key string) {
+func (r *runCounts) add(tag, request, key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count("tag", tag)
-	r.count("request", request)
-	r.count("key", key)
+	r.increment("tag", tag)
+	r.increment("request", request)
+	r.increment("key", key)
 }
 
-func (r *runs) count(table, name string) {
+// increment counts a start in a table, or in dropped if the table is full. An empty name is
+// not counted.
+func (r *runCounts) increment(table, name string) {
 	if name == "" {
 		return
 	}
-	t := r.tables[table]
-	if _, ok := t[name]; !ok && len(t) >= maxRuns {
+	counts := r.tables[table]
+	if _, ok := counts[name]; !ok && len(counts) >= maxRunNames {
 		r.dropped++
 		return
 	}
-	t[name]++
+	counts[name]++
 }
 
-// table returns a copy; by "" means the tags.
-func (r *runs) table(by string) RunTable {
+// table returns a copy of the counts by "tag", "request" or "key"; "" means "tag".
+func (r *runCounts) table(by string) RunTable {
 	if by == "" {
 		by = "tag"
 	}
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -8,135 +8,137 @@
 	"github.com/valyala/fasthttp"
 )
 
-var errCut = errors.New("stand-in: stream cut")
+var errCut = errors.New("stand-in: work ended before the response was complete")
 
-// maxEventBytes bounds one event, so that a read never has to split one.
+// maxEventBytes is an upper bound on the size of one event. appendDue adds an event only
+// if that much of the read buffer is left.
 const maxEventBytes = 256
 
-// stream produces the events of one response at the engine's pace. Read gives
-// every event that is due, so a delayed reader catches up in one step.
+// stream generates the events of one response at the engine's token rate. Read returns
+// every event that is due, so that a delayed reader catches up in one call.
 type stream struct {
-	t      *target
-	w      *work
-	forget func()
-	seed   uint64
-	prompt int
-	tokens int
-	sent   int // number of the last event sent
-	due    time.Time
-	timer  *time.Timer
-	rest   []byte
+	target       *target
+	work         *work
+	onEnd        func()
+	seed         uint64
+	promptTokens int
+	tokens       int
+	lastSent     int // number of the last event generated
+	nextDue      time.Time
+	timer        *time.Timer
+	pending      []byte
 }
 
-func newStream(t *target, w *work, body []byte, tokens, from int, forget func()) *stream {
-	s := &stream{t: t, w: w, forget: forget, seed: Seed(body), prompt: PromptTokens(body), tokens: tokens, sent: from}
-	s.due = time.Now().Add(s.step())
-	s.timer = time.NewTimer(time.Until(s.due))
+func newStream(t *target, w *work, body []byte, tokens, lastEvent int, onEnd func()) *stream {
+	s := &stream{target: t, work: w, onEnd: onEnd, seed: Seed(body), promptTokens: PromptTokens(body), tokens: tokens, lastSent: lastEvent}
+	s.nextDue = time.Now().Add(s.tokenInterval())
+	s.timer = time.NewTimer(time.Until(s.nextDue))
 	return s
 }
 
-// step returns the time of one token of the present batch.
-func (s *stream) step() time.Duration {
-	us := s.t.spec.PaceUs + s.t.spec.PerSequenceUs*max(0, s.t.gate.batch()-1)
-	return time.Duration(float64(us) * s.t.faults.slowness() * float64(time.Microsecond))
+// tokenInterval returns the time per token at the present batch size.
+func (s *stream) tokenInterval() time.Duration {
+	us := s.target.spec.PaceUs + s.target.spec.PerSequenceUs*max(0, s.target.admission.batchSize()-1)
+	return time.Duration(float64(us) * s.target.faults.slowFactor() * float64(time.Microsecond))
 }
 
 // Read implements io.Reader.
 func (s *stream) Read(p []byte) (int, error) {
-	if len(s.rest) == 0 {
-		if s.sent >= s.tokens+2 {
-			s.end(endComplete)
+	if len(s.pending) == 0 {
+		if s.lastSent >= s.tokens+2 {
+			s.finish(outcomeCompleted)
 			return 0, io.EOF
 		}
-		if !s.waitDue() {
+		if !s.waitForToken() {
 			return 0, errCut
 		}
-		s.fill(len(p))
+		s.appendDue(len(p))
 	}
-	n := copy(p, s.rest)
-	s.rest = s.rest[n:]
-	if len(s.rest) == 0 && s.sent >= s.tokens+2 {
+	n := copy(p, s.pending)
+	s.pending = s.pending[n:]
+	if len(s.pending) == 0 && s.lastSent >= s.tokens+2 {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-// waitDue waits for the next token and reports false if the work was ended.
-func (s *stream) waitDue() bool {
-	if s.sent >= s.tokens { // the usage event follows at once after a resume
+// waitForToken waits until the next token is due. It returns false if the work was ended.
+func (s *stream) waitForToken() bool {
+	if s.lastSent >= s.tokens { // on a resume after the last token, usage follows at once
 		return true
 	}
-	s.timer.Reset(time.Until(s.due))
+	s.timer.Reset(time.Until(s.nextDue))
 	select {
-	case <-s.w.cancel:
+	case <-s.work.cancel:
 		return false
 	case <-s.timer.C:
 		return true
 	}
 }
 
-// fill appends the events that are due. The last token brings the usage and
-// [DONE] with it, and the slot is free before they are sent.
-func (s *stream) fill(room int) {
-	s.rest = s.rest[:0]
-	step, events, now := s.step(), 0, time.Now()
-	for s.sent < s.tokens && len(s.rest)+maxEventBytes < max(room, 2*maxEventBytes) && !s.due.After(now) {
-		s.sent++
+// appendDue refills pending with the events that are due, up to about maxBytes. The usage
+// and [DONE] events follow the last token at once. The slot is freed before they are sent.
+func (s *stream) appendDue(maxBytes int) {
+	s.pending = s.pending[:0]
+	interval, events, now := s.tokenInterval(), 0, time.Now()
+	for s.lastSent < s.tokens && len(s.pending)+maxEventBytes < max(maxBytes, 2*maxEventBytes) && !s.nextDue.After(now) {
+		s.lastSent++
 		events++
-		s.due = s.due.Add(step)
-		s.rest = appendEvent(s.rest, s.seed, s.sent, s.tokens, s.prompt)
+		s.nextDue = s.nextDue.Add(interval)
+		s.pending = appendEvent(s.pending, s.seed, s.lastSent, s.tokens, s.promptTokens)
 	}
-	s.addTokens(events)
-	if s.t.faults.sent(events) {
-		s.t.restart()
+	s.countTokens(events)
+	if s.target.faults.countEvents(events) {
+		s.target.restart()
 		return
 	}
-	if s.sent >= s.tokens {
-		for s.sent < s.tokens+2 {
-			s.sent++
-			s.rest = appendEvent(s.rest, s.seed, s.sent, s.tokens, s.prompt)
+	if s.lastSent >= s.tokens {
+		for s.lastSent < s.tokens+2 {
+			s.lastSent++
+			s.pending = appendEvent(s.pending, s.seed, s.lastSent, s.tokens, s.promptTokens)
 		}
-		s.end(endComplete)
+		s.finish(outcomeCompleted)
 	}
 }
 
-func (s *stream) addTokens(n int) {
-	g := s.t.gate
-	g.mu.Lock()
-	g.count.Tokens += uint64(n)
-	g.mu.Unlock()
+func (s *stream) countTokens(n int) {
+	a := s.target.admission
+	a.mu.Lock()
+	a.counters.Tokens += uint64(n)
+	a.mu.Unlock()
 }
 
-func (s *stream) end(how ending) {
+func (s *stream) finish(result outcome) {
 	s.timer.Stop()
-	s.t.gate.finish(s.w, how)
-	s.forget()
+	s.target.admission.finish(s.work, result)
+	s.onEnd()
 }
 
-// Close implements io.Closer. fasthttp calls it when the connection is lost.
+// Close implements io.Closer. fasthttp calls it at the end of the response, also if the
+// connection was lost.
 func (s *stream) Close() error {
-	s.end(endAbandon)
+	s.finish(outcomeAbandoned)
 	return nil
 }
 
-// wholeReader turns a stream into an unstreamed response.
-type wholeReader struct {
+// unstreamedReader waits for all tokens of a stream and returns the unstreamed response.
+type unstreamedReader struct {
 	stream *stream
 	body   []byte
 	ready  bool
 }
 
 // Read implements io.Reader.
-func (r *wholeReader) Read(p []byte) (int, error) {
+func (r *unstreamedReader) Read(p []byte) (int, error) {
 	if !r.ready {
 		s := r.stream
-		for s.sent < s.tokens {
-			if !s.waitDue() {
+		for s.lastSent < s.tokens {
+			if !s.waitForToken() {
 				return 0, errCut
 			}
-			s.fill(1 << 16)
+			s.appendDue(1 << 16)
 		}
-		r.body, r.ready = wholeFromSeed(s.seed, s.prompt, s.tokens), true
+		r.body, r.ready = unstreamedFromSeed(s.seed, s.promptTokens, s.tokens), true
 	}
 	n := copy(p, r.body)
 	r.body = r.body[n:]
@@ -147,29 +149,30 @@
 }
 
 // Close implements io.Closer.
-func (r *wholeReader) Close() error { return r.stream.Close() }
+func (r *unstreamedReader) Close() error { return r.stream.Close() }
 
-// hold keeps a request without a response until the fault ends, the work is
-// ended, or the caller closes the connection.
-func (t *target) hold(ctx *fasthttp.RequestCtx, w *work) {
-	gone := make(chan struct{})
+// holdResponse keeps a request without a response until the fault ends, the work is
+// ended, or the caller disconnects, and then closes the connection.
+func (t *target) holdResponse(ctx *fasthttp.RequestCtx, w *work) {
+	disconnected := make(chan struct{})
 	conn := ctx.Conn()
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		var b [1]byte
 		_, _ = conn.Read(b[:])
 	}()
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
-	for t.faults.isOn(FaultSilentAfter) && !ended(gone, w.cancel) {
+	for t.faults.isActive(FaultSilentAfter) && !anyClosed(disconnected, w.cancel) {
 		<-tick.C
 	}
-	t.gate.finish(w, endAbandon)
-	drop(ctx)
-	<-gone
+	t.admission.finish(w, outcomeAbandoned)
+	abort(ctx)
+	<-disconnected
 }
 
-func ended(a, b <-chan struct{}) bool {
+// anyClosed reports whether at least one of the channels is closed.
+func anyClosed(a, b <-chan struct{}) bool {
 	select {
 	case <-a:
 	case <-b:
--- a/internal/standin/tokens.go
+++ b/internal/standin/tokens.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seed is the value from which all tokens of the response to a body follow.
-// A client that knows the body can check every byte of the response.
+// Seed returns the hash of a request body that determines all tokens of the response, so
+// that a client can verify every byte of it.
 func Seed(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// Token returns the token with the number i, counted from 1.
+// Token returns the i-th token of a response, counted from 1.
 func Token(seed uint64, i int) string {
 	// The multiplier and shifts are those of the splitmix64 mixing function.
 	z := seed + uint64(i)*0x9e3779b97f4a7c15
@@ -20,23 +20,24 @@
 	return fmt.Sprintf("%08x", uint32(z))
 }
 
-// PromptTokens returns the number of prompt tokens of a body.
+// PromptTokens returns the simulated number of prompt tokens of a request body: one, and
+// one more per 256 bytes, at most 4096.
 func PromptTokens(body []byte) int { return min(1+len(body)/256, 4096) }
 
-// appendEvent appends the event with the number i of a stream of n tokens:
-// tokens, then the usage, then [DONE].
-func appendEvent(b []byte, seed uint64, i, n, prompt int) []byte {
+// appendEvent appends the i-th event of a stream. Events 1 to tokens hold one token each;
+// the usage and [DONE] follow.
+func appendEvent(b []byte, seed uint64, i, tokens, promptTokens int) []byte {
 	b = append(b, "id: "...)
 	b = strconv.AppendInt(b, int64(i), 10)
 	b = append(b, "\ndata: "...)
 	switch {
-	case i <= n:
+	case i <= tokens:
 		b = append(b, `{"choices":[{"index":0,"delta":{"content":"`...)
 		b = append(b, Token(seed, i)...)
 		b = append(b, `"}}]}`...)
-	case i == n+1:
+	case i == tokens+1:
 		b = append(b, `{"choices":[],"usage":`...)
-		b = appendUsage(b, prompt, n)
+		b = appendUsage(b, promptTokens, tokens)
 		b = append(b, '}')
 	default:
 		b = append(b, "[DONE]"...)
@@ -44,35 +45,37 @@
 	return append(b, "\n\n"...)
 }
 
-func appendUsage(b []byte, prompt, tokens int) []byte {
-	return fmt.Appendf(b, `{"prompt_tokens":%d,"completion_tokens":%d}`, prompt, tokens)
+func appendUsage(b []byte, promptTokens, tokens int) []byte {
+	return fmt.Appendf(b, `{"prompt_tokens":%d,"completion_tokens":%d}`, promptTokens, tokens)
 }
 
-// StreamBody returns the whole streamed response to a body with n tokens.
+// StreamBody returns the complete streamed response of n tokens to a request body.
 func StreamBody(body []byte, n int) []byte {
 	var b []byte
-	seed, prompt := Seed(body), PromptTokens(body)
+	seed, promptTokens := Seed(body), PromptTokens(body)
 	for i := 1; i <= n+2; i++ {
-		b = appendEvent(b, seed, i, n, prompt)
+		b = appendEvent(b, seed, i, n, promptTokens)
 	}
 	return b
 }
 
-// WholeBody returns the unstreamed response to a body with n tokens.
-func WholeBody(body []byte, n int) []byte { return wholeFromSeed(Seed(body), PromptTokens(body), n) }
+// WholeBody returns the unstreamed response of n tokens to a request body.
+func WholeBody(body []byte, n int) []byte {
+	return unstreamedFromSeed(Seed(body), PromptTokens(body), n)
+}
 
-func wholeFromSeed(seed uint64, prompt, n int) []byte {
+func unstreamedFromSeed(seed uint64, promptTokens, tokens int) []byte {
 	b := []byte(`{"choices":[{"index":0,"message":{"role":"assistant","content":"`)
-	for i := 1; i <= n; i++ {
+	for i := 1; i <= tokens; i++ {
 		b = append(b, Token(seed, i)...)
 	}
 	b = append(b, `"}}],"usage":`...)
-	b = appendUsage(b, prompt, n)
+	b = appendUsage(b, promptTokens, tokens)
 	return append(b, '}')
 }
 
-// ServiceBody returns the response of a plain service to a body, size bytes
-// long or a little more.
+// ServiceBody returns the response of a plain service to a request body. It has one token
+// or as many as are needed for at least size bytes, whichever is more.
 func ServiceBody(body []byte, size int) []byte {
 	seed := Seed(body)
 	b := []byte(`{"echo":"`)
--- a/internal/standin/work.go
+++ b/internal/standin/work.go
@@ -5,286 +5,297 @@
 	"time"
 )
 
-// Bounds on what a stand-in remembers.
+// Limits on the recorded data of one stand-in.
 const (
-	maxStarts   = 1 << 14 // wall times of starts
-	maxBreaches = 64      // details of breaches
-	maxRuns     = 1 << 20 // names per run table
+	maxStarts   = 1 << 14 // start times in Stats.StartsMs
+	maxBreaches = 64      // entries in Stats.BreachList
+	maxRunNames = 1 << 20 // names per RunTable
 )
 
-// Breach describes work that arrived beyond the present capacity.
+// Breach describes a request that arrived beyond the present capacity.
 type Breach struct {
 	UnixMs   int64  `json:"unix_ms"`
 	State    string `json:"state"`
-	Running  int    `json:"running"` // including the work that was too much
+	Running  int    `json:"running"` // including the request in excess
 	Capacity int    `json:"capacity"`
-	Request  string `json:"request,omitempty"`
+	Request  string `json:"request,omitempty"` // request tag
 }
 
 // work is one admitted request.
 type work struct {
-	boot   uint64
-	spell  uint64        // which cold spell or warm time it started in
-	cancel chan struct{} // closed when the work is cancelled or cut
-	closed bool
-	done   bool
+	boot         uint64
+	coldPeriod   uint64        // admission.coldPeriod at the start
+	cancel       chan struct{} // closed when the work ends before its completion
+	cancelClosed bool
+	finished     bool
 }
 
-// gate admits work to one target, tracks its warmth and counts breaches.
-type gate struct {
+// admission limits the concurrent work of one target, tracks whether the target is
+// warm, and counts work and breaches.
+type admission struct {
 	mu   sync.Mutex
 	spec Spec
 
-	boot     uint64
-	warm     bool
-	warmAt   time.Time // end of a warm order under way; zero = none
-	progress int       // completions since the target turned cold
-	spell    uint64
-	downTill time.Time
-	running  map[*work]struct{}
-	// coldRunning counts running work that started since the target turned
-	// cold. Work from before that moment does not count against the cold
-	// capacity, because nobody could have known.
+	boot            uint64
+	warm            bool
+	warmOrderEnd    time.Time // when the "warm" order in progress completes; zero = none
+	coldCompletions int       // completed requests that started since the target became cold
+	coldPeriod      uint64    // number of times the target became cold
+	downUntil       time.Time
+	running         map[*work]struct{}
+	// coldRunning counts the running work that started since the target became
+	// cold. Earlier work does not count against the cold capacity, because its
+	// sender could not know that the target would become cold.
 	coldRunning int
 
-	accrued  time.Time // up to when the slot times are counted
-	count    Counters
-	starts   []int64 // ring of wall times
-	startAt  int
-	breaches []Breach
+	accruedUntil time.Time // end of the time counted in BusySlotMs and SlotMs
+	counters     Counters
+	startsMs     []int64 // ring buffer of wall times in Unix ms
+	oldestStart  int     // index of the oldest one once the buffer is full
+	breaches     []Breach
 }
 
-// Counters are the totals of one target since the process started.
+// Counters are the totals of one target since the start of the process.
 type Counters struct {
-	Starts    uint64 `json:"starts"`
+	Starts    uint64 `json:"starts"` // admitted requests, including resumed streams
 	Completed uint64 `json:"completed"`
-	Cut       uint64 `json:"cut"`
-	Cancelled uint64 `json:"cancelled"`
-	Abandoned uint64 `json:"abandoned"` // the connection was lost
-	Resumed   uint64 `json:"resumed"`
+	Cut       uint64 `json:"cut"`       // ended by a restart
+	Cancelled uint64 `json:"cancelled"` // ended by a cancel request
+	Abandoned uint64 `json:"abandoned"` // the caller disconnected or resumed the stream
+	Resumed   uint64 `json:"resumed"`   // streams resumed
 	Breaches  uint64 `json:"breaches"`
 	Restarts  uint64 `json:"restarts"`
-	Tokens    uint64 `json:"tokens"`
-	PeakWarm  int    `json:"peak_warm"`
-	PeakCold  int    `json:"peak_cold"`
+	Tokens    uint64 `json:"tokens"`    // generated
+	PeakWarm  int    `json:"peak_warm"` // most concurrent requests while warm
+	PeakCold  int    `json:"peak_cold"` // most that count against the cold capacity
 	Orders    uint64 `json:"orders"`
 	// StaleRefused and StaleAccepted count orders with an old fencing token.
 	StaleRefused  uint64 `json:"stale_refused"`
 	StaleAccepted uint64 `json:"stale_accepted"`
-	// LoadFailed counts load orders that the weight store turned away.
+	// LoadFailed counts "load" orders whose download from the weight store failed.
 	LoadFailed uint64 `json:"load_failed"`
-	// BusySlotMs sums running work over time, SlotMs the present capacity;
-	// their ratio is the utilisation.
+	// BusySlotMs is the integral over time, in ms, of the number of running
+	// requests, and SlotMs that of the capacity. Their ratio is the utilisation.
 	BusySlotMs float64 `json:"busy_slot_ms"`
 	SlotMs     float64 `json:"slot_ms"`
 }
 
-func newGate(s Spec) *gate {
-	return &gate{spec: s, boot: 1, warm: s.StartWarm, running: map[*work]struct{}{}, accrued: time.Now()}
+func newAdmission(s Spec) *admission {
+	return &admission{spec: s, boot: 1, warm: s.StartWarm, running: map[*work]struct{}{}, accruedUntil: time.Now()}
 }
 
-// accrue counts the slot times up to now. It precedes each change.
-func (g *gate) accrue(now time.Time) {
-	ms := float64(now.Sub(g.accrued)) / float64(time.Millisecond)
+// accrueSlotTime adds the time up to now to BusySlotMs and SlotMs. It must be called
+// before each change of the running work or the capacity.
+func (a *admission) accrueSlotTime(now time.Time) {
+	ms := float64(now.Sub(a.accruedUntil)) / float64(time.Millisecond)
 	if ms <= 0 {
 		return
 	}
-	_, capacity := g.load()
-	g.count.BusySlotMs += ms * float64(len(g.running))
-	g.count.SlotMs += ms * float64(capacity)
-	g.accrued = now
+	_, capacity := a.usage()
+	a.counters.BusySlotMs += ms * float64(len(a.running))
+	a.counters.SlotMs += ms * float64(capacity)
+	a.accruedUntil = now
 }
 
-// admit starts work. It returns nil while the target is down, and breach true
-// if the work was too much, after which the caller must restart the target. The time
-// of work that resumes a stream is not recorded: it is the work that began before, and
-// may go on while its data centre is out.
-func (g *gate) admit(now time.Time, request string, resumes bool) (w *work, breach bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if now.Before(g.downTill) {
+// admit starts work. It returns nil while the target is down. It returns breach true
+// if the work exceeds the capacity; the caller must then restart the target. The start
+// time of a resumed stream is not recorded, because the stream continues earlier work
+// and may do so while its data centre is out.
+func (a *admission) admit(now time.Time, tag string, resumes bool) (w *work, breach bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if now.Before(a.downUntil) {
 		return nil, false
 	}
-	g.accrue(now)
-	g.settleWarm(now)
-	load, capacity := g.load()
-	if load+1 > capacity {
-		g.addBreach(Breach{now.UnixMilli(), g.state(), load + 1, capacity, request})
+	a.accrueSlotTime(now)
+	a.finishWarmOrder(now)
+	running, capacity := a.usage()
+	if running+1 > capacity {
+		a.recordBreach(Breach{now.UnixMilli(), a.state(), running + 1, capacity, tag})
 		return nil, true
 	}
-	w = &work{boot: g.boot, spell: g.spell, cancel: make(chan struct{})}
-	g.running[w] = struct{}{}
-	if g.warm {
-		g.count.PeakWarm = max(g.count.PeakWarm, load+1)
+	w = &work{boot: a.boot, coldPeriod: a.coldPeriod, cancel: make(chan struct{})}
+	a.running[w] = struct{}{}
+	if a.warm {
+		a.counters.PeakWarm = max(a.counters.PeakWarm, running+1)
 	} else {
-		g.coldRunning++
-		g.count.PeakCold = max(g.count.PeakCold, load+1)
+		a.coldRunning++
+		a.counters.PeakCold = max(a.counters.PeakCold, running+1)
 	}
-	g.count.Starts++
+	a.counters.Starts++
 	if !resumes {
-		g.addStart(now.UnixMilli())
+		a.recordStart(now.UnixMilli())
 	}
 	return w, false
 }
 
-func (g *gate) load() (running, capacity int) {
-	if g.warm {
-		return len(g.running), g.spec.WarmCapacity
+// usage returns the number of running requests that count against the present
+// capacity, and that capacity.
+func (a *admission) usage() (running, capacity int) {
+	if a.warm {
+		return len(a.running), a.spec.WarmCapacity
 	}
-	return g.coldRunning, g.spec.ColdCapacity
+	return a.coldRunning, a.spec.ColdCapacity
 }
 
-func (g *gate) addBreach(b Breach) {
-	g.count.Breaches++
-	if len(g.breaches) < maxBreaches {
-		g.breaches = append(g.breaches, b)
+func (a *admission) recordBreach(b Breach) {
+	a.counters.Breaches++
+	if len(a.breaches) < maxBreaches {
+		a.breaches = append(a.breaches, b)
 	}
 }
 
-func (g *gate) addStart(ms int64) {
-	if len(g.starts) < maxStarts {
-		g.starts = append(g.starts, ms)
+// recordStart adds a start time and overwrites the oldest one if the ring is full.
+func (a *admission) recordStart(ms int64) {
+	if len(a.startsMs) < maxStarts {
+		a.startsMs = append(a.startsMs, ms)
 		return
 	}
-	g.starts[g.startAt] = ms
-	g.startAt = (g.startAt + 1) % maxStarts
+	a.startsMs[a.oldestStart] = ms
+	a.oldestStart = (a.oldestStart + 1) % maxStarts
 }
 
-// settleWarm ends a warm order whose time has come.
-func (g *gate) settleWarm(now time.Time) {
-	if !g.warmAt.IsZero() && !now.Before(g.warmAt) {
-		g.turnWarm()
+// finishWarmOrder makes the target warm if a "warm" order has completed by now.
+func (a *admission) finishWarmOrder(now time.Time) {
+	if !a.warmOrderEnd.IsZero() && !now.Before(a.warmOrderEnd) {
+		a.setWarm()
 	}
 }
 
-func (g *gate) turnWarm() {
-	g.warm, g.warmAt, g.progress = true, time.Time{}, 0
+func (a *admission) setWarm() {
+	a.warm, a.warmOrderEnd, a.coldCompletions = true, time.Time{}, 0
 }
 
-// ending tells how work ended.
-type ending int
+// outcome is the way in which work ended.
+type outcome int
 
 const (
-	endComplete ending = iota
-	endCancel
-	endAbandon
-	endCut
+	outcomeCompleted outcome = iota
+	outcomeCancelled
+	outcomeAbandoned
+	outcomeCut
 )
 
-// finish frees the slot of the work. It must be called before the last byte
-// of the response is sent, so that a caller who has the whole response finds
-// the slot free. Calls after the first have no effect.
-func (g *gate) finish(w *work, how ending) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.finishLocked(w, how)
+// finish frees the slot of the work and counts its outcome. It must be called before
+// the last byte of the response is sent, so that the slot is free once the caller has
+// the whole response. Calls after the first have no effect.
+func (a *admission) finish(w *work, result outcome) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.finishLocked(w, result)
 }
 
-func (g *gate) finishLocked(w *work, how ending) {
-	if w.done {
+func (a *admission) finishLocked(w *work, result outcome) {
+	if w.finished {
 		return
 	}
-	g.accrue(time.Now())
-	w.done = true
-	delete(g.running, w)
-	if !g.warm && w.spell == g.spell {
-		g.coldRunning--
+	a.accrueSlotTime(time.Now())
+	w.finished = true
+	delete(a.running, w)
+	if !a.warm && w.coldPeriod == a.coldPeriod {
+		a.coldRunning--
 	}
-	switch how {
-	case endComplete:
-		g.count.Completed++
-		g.addProgress(w)
-	case endCancel:
-		g.count.Cancelled++
-	case endAbandon:
-		g.count.Abandoned++
-	case endCut:
-		g.count.Cut++
+	switch result {
+	case outcomeCompleted:
+		a.counters.Completed++
+		a.countColdCompletion(w)
+	case outcomeCancelled:
+		a.counters.Cancelled++
+	case outcomeAbandoned:
+		a.counters.Abandoned++
+	case outcomeCut:
+		a.counters.Cut++
 	}
-	if how != endComplete && !w.closed {
-		w.closed = true
+	if result != outcomeCompleted && !w.cancelClosed {
+		w.cancelClosed = true
 		close(w.cancel)
 	}
 }
 
-func (g *gate) addProgress(w *work) {
-	if g.warm || w.spell != g.spell {
+// countColdCompletion makes the target warm after WarmAfter completions of work that
+// started in the present cold period.
+func (a *admission) countColdCompletion(w *work) {
+	if a.warm || w.coldPeriod != a.coldPeriod {
 		return
 	}
-	if g.progress++; g.progress >= g.spec.WarmAfter {
-		g.turnWarm()
+	if a.coldCompletions++; a.coldCompletions >= a.spec.WarmAfter {
+		a.setWarm()
 	}
 }
 
-// turnCold makes the target cold without ending its running work.
-func (g *gate) turnCold() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.turnColdLocked()
+// setCold makes the target cold. Running work continues.
+func (a *admission) setCold() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.setColdLocked()
 }
 
-func (g *gate) turnColdLocked() {
-	g.accrue(time.Now())
-	g.warm, g.warmAt, g.progress, g.coldRunning = false, time.Time{}, 0, 0
-	g.spell++
+func (a *admission) setColdLocked() {
+	a.accrueSlotTime(time.Now())
+	a.warm, a.warmOrderEnd, a.coldCompletions, a.coldRunning = false, time.Time{}, 0, 0
+	a.coldPeriod++
 }
 
-// restart ends all work, gives the target a new boot number and makes it cold.
-func (g *gate) restart(now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for w := range g.running {
-		g.finishLocked(w, endCut)
+// restart ends all work, increments the boot number, makes the target cold and keeps
+// it down for RestartMs.
+func (a *admission) restart(now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for w := range a.running {
+		a.finishLocked(w, outcomeCut)
 	}
-	g.turnColdLocked()
-	g.boot++
-	g.count.Restarts++
-	g.downTill = now.Add(time.Duration(g.spec.RestartMs) * time.Millisecond)
+	a.setColdLocked()
+	a.boot++
+	a.counters.Restarts++
+	a.downUntil = now.Add(time.Duration(a.spec.RestartMs) * time.Millisecond)
 }
 
-// orderWarm begins to warm the target.
-func (g *gate) orderWarm(now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.warm && g.warmAt.IsZero() {
-		g.warmAt = now.Add(time.Duration(g.spec.WarmMs) * time.Millisecond)
+// startWarmOrder makes the target warm after WarmMs, unless it is warm or a "warm" order
+// is in progress.
+func (a *admission) startWarmOrder(now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.warm && a.warmOrderEnd.IsZero() {
+		a.warmOrderEnd = now.Add(time.Duration(a.spec.WarmMs) * time.Millisecond)
 	}
 }
 
-func (g *gate) down(now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return now.Before(g.downTill)
+// isDown reports whether the target is restarting.
+func (a *admission) isDown(now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return now.Before(a.downUntil)
 }
 
-func (g *gate) state() string {
-	if g.warm {
+func (a *admission) state() string {
+	if a.warm {
 		return "warm"
 	}
 	return "cold"
 }
 
-// LoadReport is the answer of GET /load.
+// LoadReport is the response to GET /load.
 type LoadReport struct {
 	State   string `json:"state"`
 	Boot    uint64 `json:"boot"`
 	Running int    `json:"running"`
-	Queued  int    `json:"queued"`
-	AsOfMs  int64  `json:"as_of_ms"`
+	Queued  int    `json:"queued"`   // always 0: a target does not queue
+	AsOfMs  int64  `json:"as_of_ms"` // Unix ms
 }
 
-// report describes this moment.
-func (g *gate) report(now time.Time) LoadReport {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.accrue(now)
-	g.settleWarm(now)
-	return LoadReport{State: g.state(), Boot: g.boot, Running: len(g.running), AsOfMs: now.UnixMilli()}
+// loadReport returns the state and the load at now.
+func (a *admission) loadReport(now time.Time) LoadReport {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.accrueSlotTime(now)
+	a.finishWarmOrder(now)
+	return LoadReport{State: a.state(), Boot: a.boot, Running: len(a.running), AsOfMs: now.UnixMilli()}
 }
 
-// batch returns the number of running sequences.
-func (g *gate) batch() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.running)
+// batchSize returns the number of running requests, each of which is one sequence of
+// the batch.
+func (a *admission) batchSize() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return len(a.running)
 }
