--- a/plugin/forward/call.go
+++ b/plugin/forward/call.go
@@ -180,7 +180,7 @@
 		}
 		return ""
 	case c.sendCount >= c.req.Route.MaxAttempts:
-		return "the route's attempts are used up"
+		return "no attempt left on the route"
 	case !failure.notRun && !c.req.Route.Repeatable():
 		return "the request may have run and the route allows no retry"
 	case !c.fwd.retryBudget.Repeat(c.req.Service, c.fwd.clock.Now()):
