--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,6 +1,7 @@
-// Package api holds the service interfaces and the typed records that plug-ins
-// exchange. A plug-in provides a service to the kernel under its interface type
-// and looks up the services of others; no plug-in imports another.
+// Package api defines the service interfaces and data types through which
+// plug-ins use each other. A plug-in registers a service with the kernel under
+// its interface type and looks up the services of others; no plug-in imports
+// another.
 package api
 
 import (
@@ -11,63 +12,67 @@
 	"nutmegrouter/fleetconfig"
 )
 
-// Handler answers one message from a peer. The result is marshalled as the
-// JSON-RPC result of a call and is ignored for a notification.
+// Handler handles one message from the instance named from. The returned value
+// is encoded as the JSON-RPC result of a call and ignored for a notification.
 type Handler func(ctx context.Context, from string, params json.RawMessage) (any, error)
 
-// Mesh carries messages between instances. Messages to an unreachable peer go
-// through a third instance that reports a working link to it.
+// Mesh sends JSON-RPC messages between instances. Messages to a peer without a
+// direct link are relayed through an instance that reports a working link to it.
 type Mesh interface {
 	// Self returns the name of this instance.
 	Self() string
 	// Peers returns the names of all other instances, sorted.
 	Peers() []string
-	// Handle registers the handler of a method. It must be called before the
-	// duties start, that is, from Provision.
+	// Handle registers the handler of a method. It must be called from
+	// Provision, before the duties start.
 	Handle(method string, h Handler)
-	// Notify queues a message. It fails at once if the bounded queue is full
-	// or no path to the peer is known. Messages to one peer arrive in order or
-	// not at all while a link lasts.
+	// Notify queues a message without a response. It fails at once if the bounded
+	// queue is full or no path to the peer is known. While a link is up, messages
+	// to one peer arrive in order; some may be lost.
 	Notify(to, method string, params any) error
-	// NotifyAll queues one message for several peers, encoded once. It fails if the
-	// message cannot be encoded; a peer that it cannot be queued for misses it.
+	// NotifyAll queues one message for several peers and encodes it once. It fails
+	// only if the message cannot be encoded or is too large. Peers whose queue is
+	// full or to which no path is known do not receive it.
 	NotifyAll(to []string, method string, params any) error
-	// Call sends a request and waits for the answer or the context's end.
+	// Call sends a request and decodes the response into result. It waits until
+	// the response arrives or the context ends.
 	Call(ctx context.Context, to, method string, params, result any) error
 	// Reachable reports whether a direct or relayed path to the peer is known.
 	Reachable(peer string) bool
 }
 
-// Links tells the mesh which paths exist through other instances. Beats carry
-// the reports, so that they cost no message of their own.
+// Links exchanges the state of direct links between instances, so that the mesh
+// can find relays. The reports are part of the heartbeats and need no messages
+// of their own.
 type Links interface {
 	// Unreached returns the peers without a working direct link, sorted.
 	Unreached() []string
-	// Report records the peers that a peer says it does not reach directly.
+	// Report records the peers to which the given peer reports no working direct
+	// link.
 	Report(peer string, unreached []string)
 }
 
-// LinkChange tells that a link with an instance has begun or ended.
+// LinkChange is the event that a link to a peer was established or lost.
 type LinkChange struct {
-	Peer       string
-	Boot       string // identity of the peer's process
-	DataCentre string // "" when the link ends
-	Control    bool   // the peer holds a control replica
-	Up         bool
+	Peer       string // instance name
+	Boot       string // incarnation of the peer's process
+	DataCentre string // of the peer; "" when the link is lost
+	Control    bool   // the peer has a control replica
+	Up         bool   // the link was established; false = lost
 }
 
-// Roster sets the links of a mesh whose members come and go.
+// Roster maintains the links of a mesh whose membership changes at run time.
 type Roster interface {
-	// Dial keeps links to exactly these addresses, each IP:port. It may be
-	// called once the duties have started.
+	// Dial sets the addresses, each IP:port, to which links are maintained and
+	// closes links to all others. It may be called once the duties have started.
 	Dial(addresses []string)
-	// OnLink registers a function called after a link was made or lost. It must
-	// not block. Register from Provision.
+	// OnLink registers a function that is called after a link was established or
+	// lost. It must not block. Register from Provision.
 	OnLink(f func(LinkChange))
 }
 
-// Topology tells which control instances there are. It is provided with the
-// profile "routes", whose instances are discovered.
+// Topology lists the discovered instances and the control leader. It is provided
+// only with the profile "routes", whose instances are discovered.
 type Topology interface {
 	// Controls returns the known control instances, sorted.
 	Controls() []string
@@ -75,27 +80,33 @@
 	Leader() (instance string, term uint64)
 	// Entries returns the number of entry instances; 0 = not known yet.
 	Entries() int
-	// OnLeader registers a function called after the known leader has changed.
-	// It must not block. Register from Provision.
+	// OnLeader registers a function that is called after the known leader has
+	// changed. It must not block. Register from Provision.
 	OnLeader(f func(instance string, term uint64))
 }
 
-// Lease tells what this instance may do at this moment on the monotonic clock.
+// Lease reports the leases of this instance and the owners of pools. Validity is
+// checked against the monotonic clock at each call.
 type Lease interface {
-	// Valid reports whether this instance may dispatch work now.
+	// Valid reports whether the instance lease is valid now, so that this instance
+	// may dispatch work.
 	Valid() bool
-	// Owner returns the owner of a pool as last known, and its epoch.
+	// Owner returns the last known owner of a pool and its epoch; ok is false if
+	// none is known.
 	Owner(pool string) (instance string, epoch uint64, ok bool)
-	// Holds reports whether this instance owns the pool now, with the epoch.
+	// Holds reports whether this instance owns the pool now, and the epoch of its
+	// ownership.
 	Holds(pool string) (epoch uint64, ok bool)
-	// MayHoldLease reports whether a peer may still hold a valid instance
-	// lease. It is conservative: unknown peers may.
+	// MayHoldLease reports whether a peer may still have a valid instance lease.
+	// It is conservative and returns true for unknown peers.
 	MayHoldLease(peer string) bool
 	// Revision returns the newest view revision that a peer has reported.
 	Revision(peer string) uint64
-	// SetPools sets the pools whose ownership this instance seeks.
+	// SetPools sets the pools of which this instance tries to become the owner.
 	SetPools(pools []string)
-	// Resign gives up all ownership and seeks none until the process ends.
+	// Resign releases the ownership of all pools and waits until it is handed over
+	// or the context ends. This instance does not try to become an owner again
+	// until its process ends.
 	Resign(ctx context.Context) error
 	// OnChange registers a function that is called after the owner of a pool
 	// or the validity of the lease has changed. It must not block.
@@ -108,23 +119,24 @@
 	Revision uint64 `json:"revision"`
 	// Config is the configuration document; nil at revision 0.
 	Config *fleetconfig.Config `json:"config"`
-	// Out names the data centres that are out of service.
+	// Out is the set of data centres that are out of service, by name.
 	Out map[string]bool `json:"out,omitempty"`
-	// Version is the operators' number of Document; 0 without one.
+	// Version is the operators' version number of Document; 0 without a document.
 	Version uint64 `json:"version,omitempty"`
 	// Document is the compressed configuration of a fleet with the profile
 	// "routes", as the operator sent it.
 	Document []byte `json:"document,omitempty"`
 }
 
-// Fleet gives access to the view of the configuration on this instance.
+// Fleet stores the newest view of the configuration on this instance.
 type Fleet interface {
 	// View returns the newest view; never nil.
 	View() *View
-	// Install offers a committed view; older ones are ignored.
+	// Install replaces the view with a committed one; views that are not newer
+	// are ignored.
 	Install(v *View)
-	// OnChange registers a function called after a newer view was installed.
-	// It must not block.
+	// OnChange registers a function that is called after a newer view was
+	// installed. It must not block.
 	OnChange(f func(*View))
 }
 
@@ -133,32 +145,36 @@
 	// ChangeID identifies the change; a resend with the same id returns the
 	// stored result and changes nothing.
 	ChangeID string `json:"change_id"`
-	// Base is the revision that the change was based on.
+	// Base is the revision that the change was based on. A change with an outdated
+	// base is refused as a conflict unless Newest is set.
 	Base uint64 `json:"base"`
 	// Author is free text shown in the history.
 	Author string `json:"author,omitempty"`
-	// Config replaces the whole document if set.
+	// Config replaces the whole document if set. It is ignored if Newest is set.
 	Config *fleetconfig.Config `json:"config,omitempty"`
-	// DataCentre and Out take one data centre out (true) or back (false).
+	// DataCentre names a data centre to take out of service (Out is true) or to
+	// bring back (false).
 	DataCentre string `json:"data_centre,omitempty"`
 	Out        bool   `json:"out,omitempty"`
-	// Newest applies the change to the newest revision whatever Base says. A
-	// change that has no effect any more is accepted and makes no revision.
+	// Newest applies the change to the newest revision and ignores Base. A change
+	// that no longer has an effect is accepted without a new revision.
 	Newest bool `json:"newest,omitempty"`
-	// Version and Document replace the document of the profile "routes" if the
-	// version is above the stored one.
+	// Version and Document replace the document of the profile "routes" if Version
+	// is greater than the stored one. They are used only if Newest is set.
 	Version  uint64 `json:"version,omitempty"`
 	Document []byte `json:"document,omitempty"`
 }
 
 // SubmitResult is the stored result of a submission.
 type SubmitResult struct {
-	// Revision is the revision that the change made or, with a conflict, that
-	// the change named by Conflict made; 0 with an error.
+	// Revision is the revision that the change created, or the newest one if the
+	// change had no effect. After a conflict it is the revision of the change named
+	// by Conflict; 0 with an error.
 	Revision uint64 `json:"revision"`
-	// Conflict names the change that won if this one was refused, else "".
+	// Conflict is the id of the change with which this one conflicts, or "unknown"
+	// if the history no longer holds it; "" = no conflict.
 	Conflict string `json:"conflict,omitempty"`
-	// Error tells why the change is invalid, else "".
+	// Error is the reason why the change is invalid; "" = valid.
 	Error string `json:"error,omitempty"`
 }
 
@@ -167,64 +183,68 @@
 	Revision uint64 `json:"revision"`
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author,omitempty"`
-	UnixMs   int64  `json:"unix_ms"`
-	Summary  string `json:"summary"`
+	UnixMs   int64  `json:"unix_ms"` // when it was accepted
+	Summary  string `json:"summary"` // what it changed, as text
 }
 
-// ClaimKey names one keyed non-idempotent request.
+// ClaimKey identifies a non-idempotent request by its idempotency key, which is
+// unique within a workspace and pool.
 type ClaimKey struct {
 	Workspace string `json:"workspace"`
 	Pool      string `json:"pool"`
 	Key       string `json:"key"`
 }
 
-// ClaimState is the state of a claim in the log.
+// ClaimState is the state of a claim in the control log.
 type ClaimState string
 
 // States of a claim.
 const (
-	ClaimNew     ClaimState = "new"     // claimed by this call; run it
-	ClaimRunning ClaimState = "running" // claimed earlier, outcome unknown
+	ClaimNew     ClaimState = "new"     // claimed by this call, which may run the request
+	ClaimRunning ClaimState = "running" // claimed earlier; the outcome is unknown
 	ClaimDone    ClaimState = "done"    // finished; Outcome is set
 )
 
-// ClaimOutcome is the stored answer of a finished request.
+// ClaimOutcome is the stored response to a finished request.
 type ClaimOutcome struct {
-	Status      int    `json:"status"`
+	Status      int    `json:"status"` // HTTP status
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 	// Truncated reports that the body was too large to store.
 	Truncated bool `json:"truncated,omitempty"`
 }
 
-// ClaimResult answers a claim.
+// ClaimResult is the result of Control.Claim.
 type ClaimResult struct {
 	State   ClaimState    `json:"state"`
 	Outcome *ClaimOutcome `json:"outcome,omitempty"`
 }
 
-// Control reaches the leader of the control log from any instance.
+// Control reads and changes the replicated control log. Calls are sent to the
+// leader of the log from any instance.
 type Control interface {
 	// Submit proposes a change and returns once it is accepted or refused.
 	Submit(ctx context.Context, s Submission) (SubmitResult, error)
-	// History returns the newest accepted changes, newest first.
+	// History returns up to limit of the newest accepted changes, newest first.
 	History(ctx context.Context, limit int) ([]HistoryEntry, error)
-	// Claim claims a keyed request on behalf of holder (a unique request id).
+	// Claim claims a request for holder, a unique request id, so that requests
+	// with the same key run at most once.
 	Claim(ctx context.Context, key ClaimKey, holder string) (ClaimResult, error)
-	// Settle stores the outcome of a claim; a nil outcome releases the claim
-	// because the request was certainly not run.
+	// Settle stores the outcome of a claim. A nil outcome releases the claim; it
+	// is allowed only if the request was certainly not run.
 	Settle(ctx context.Context, key ClaimKey, holder string, outcome *ClaimOutcome) error
-	// OrderEpoch obtains a fencing number for orders to the pool's targets.
+	// OrderEpoch returns a new fencing token for orders to the pool's targets.
 	OrderEpoch(ctx context.Context, pool string) (uint64, error)
-	// ReadRevision returns the newest accepted view revision, confirmed by the
-	// leader's quorum at some moment after the call began.
+	// ReadRevision returns the newest accepted view revision. The read is
+	// linearizable: a quorum confirms the leader after the call began.
 	ReadRevision(ctx context.Context) (uint64, error)
-	// ReadView returns the newest accepted view, confirmed like ReadRevision.
+	// ReadView returns the newest accepted view by a linearizable read.
 	ReadView(ctx context.Context) (*View, error)
-	// Status describes the local replica, or its absence, for operators.
+	// Status returns the state of the local replica. On an instance without one
+	// Replica is "".
 	Status() ControlStatus
-	// OnStatus registers a function called after the role, the known leader or
-	// the members have changed. It must not block.
+	// OnStatus registers a function that is called after the role, the known
+	// leader or the members have changed. It must not block.
 	OnStatus(f func(ControlStatus))
 }
 
@@ -233,14 +253,14 @@
 	Replica string   `json:"replica,omitempty"` // replica identity, "" without a disk
 	Role    string   `json:"role"`              // leader, follower, learner, candidate or none
 	Leader  string   `json:"leader,omitempty"`  // instance name of the known leader
-	Term    uint64   `json:"term"`
-	Commit  uint64   `json:"commit"`
-	Voters  []string `json:"voters,omitempty"`
+	Term    uint64   `json:"term"`              // newest known term
+	Commit  uint64   `json:"commit"`            // index of the last committed entry
+	Voters  []string `json:"voters,omitempty"`  // instances with voting replicas
 	// Members names the instances of voters and learners.
 	Members []string `json:"members,omitempty"`
 }
 
-// CostClass is the caller's rough class of a request.
+// CostClass is the caller's estimate of how expensive a request is.
 type CostClass string
 
 // Cost classes.
@@ -251,39 +271,39 @@
 	ClassLabel   CostClass = "label"
 )
 
-// Demand asks the pool's scheduler for a slot on a target.
+// Demand is a request for a slot on a target, sent to the pool's scheduler.
 type Demand struct {
 	ID        string // unique in the fleet
 	Pool      string
 	Workspace string
 	Class     CostClass
-	Hint      float64       // cost units; 0 = none
+	Hint      float64       // the caller's estimate of the cost, in cost units; 0 = none
 	Deadline  time.Duration // on the kernel clock; 0 = none
-	Avoid     string        // target to avoid if another has room, "" = none
-	// Admitted marks a further attempt of a request that was admitted before. It
-	// is refused neither by a full queue nor by a planned stop.
+	Avoid     string        // target to use only if no other has a free slot; "" = none
+	// Admitted marks a further attempt of a request that was already admitted. It
+	// is accepted even if the queue is full or a planned stop is in progress.
 	Admitted bool
 }
 
-// Grant names the target on which a request may start.
+// Grant assigns a slot on a target to a request.
 type Grant struct {
-	Target  string
-	Address string
-	Epoch   uint64
+	Target  string // target name
+	Address string // IP:port
+	Epoch   uint64 // epoch of the owner that granted the slot
 }
 
-// Result tells the scheduler how the work on a grant ended.
+// Result is how the use of a grant ended, as reported to the scheduler.
 type Result string
 
-// Results of work.
+// Results of a grant.
 const (
-	ResultOK         Result = "ok"          // whole answer received
+	ResultOK         Result = "ok"          // the whole response was received
 	ResultNotStarted Result = "not_started" // no byte was sent to the target
-	ResultFailed     Result = "failed"      // target failed, refused or cut the answer
-	ResultCancelled  Result = "cancelled"   // caller went away, work was cancelled
+	ResultFailed     Result = "failed"      // the target failed, refused or cut off the response
+	ResultCancelled  Result = "cancelled"   // the caller disconnected; the work was cancelled
 )
 
-// Warmth is what the target said about itself.
+// Warmth is whether a target is cold or warm, as reported by the target.
 type Warmth string
 
 // Values of Warmth.
@@ -293,59 +313,62 @@
 	WarmthCold    Warmth = "cold"
 )
 
-// Outcome ends the work on a grant.
+// Outcome is how the use of a grant ended and what it cost.
 type Outcome struct {
 	Result Result
-	Cost   float64 // true cost in cost units; 0 if unknown
+	Cost   float64 // actual cost in cost units; 0 = unknown
 	Warmth Warmth
-	Boot   uint64 // boot number of the target, 0 if unknown
+	Boot   uint64 // boot number of the target; 0 = unknown
 }
 
-// Ticket is one waiting or running request on this router.
+// Ticket is one queued or running request on this instance.
 type Ticket interface {
-	// Granted delivers at most one grant. It is closed without a value when
-	// the request is refused; Refusal then tells why.
+	// Granted returns a channel that delivers at most one grant. If the request is
+	// refused it is closed without a value, and Refusal returns the reason.
 	Granted() <-chan Grant
-	// Refusal returns why the request was refused; nil otherwise.
+	// Refusal returns the reason why the request was refused; nil = not refused.
 	Refusal() *Refusal
-	// Confirm reports the first byte of the answer and what it said.
+	// Confirm reports that the first byte of the response has arrived, with the
+	// warmth and boot number in the response header.
 	Confirm(w Warmth, boot uint64)
-	// Done ends the work after a grant. It must be called exactly once after
-	// a grant was received.
+	// Done reports the outcome and frees the slot. It must be called exactly once
+	// after a grant was received.
 	Done(o Outcome)
-	// Cancel leaves the queue. After a grant was delivered it has the effect
-	// of Done with ResultNotStarted unless Done was called.
+	// Cancel removes the request from the queue. After a grant was delivered it has
+	// the effect of Done with ResultNotStarted unless Done was called.
 	Cancel()
 }
 
-// Pool queues requests on this router until the pool's scheduler grants them.
+// Pool queues requests on this instance until the pool's scheduler grants them.
 type Pool interface {
-	// Enqueue adds a request. A full queue or a stopped instance gives a
-	// Refusal as error.
+	// Enqueue adds a request to the queue. The error is a *Refusal, for example
+	// because the queue is full or the instance is stopping.
 	Enqueue(d Demand) (Ticket, error)
-	// Drain waits until no request waits or runs.
+	// Drain waits until no request is queued or running.
 	Drain(ctx context.Context) error
 }
 
-// RunState tells what a refusal says about the request.
+// RunState is whether a target may have started a refused request.
 type RunState string
 
 // Values of RunState.
 const (
-	NotRun     RunState = "not-run" // no target began the request
-	RunUnknown RunState = "unknown" // a target may have begun the request
+	NotRun     RunState = "not-run" // no target started the request
+	RunUnknown RunState = "unknown" // a target may have started the request
 )
 
-// Refusal is a typed error for callers. Step and Peer say where it arose.
+// Refusal is the error with which a request is refused. It becomes the error
+// response to the caller.
 type Refusal struct {
-	Code       string        // stable word, e.g. queue_full
-	Message    string        // text for people
+	Code       string        // stable machine-readable code, e.g. queue_full
+	Message    string        // human-readable text
 	Status     int           // HTTP status
-	Run        RunState      // whether the request was run
-	RetryAfter time.Duration // 0 = no advice
-	Step       string
-	Peer       string
-	// Inputs are what the decision was based on, as keys and values for the log.
+	Run        RunState      // whether a target may have started the request
+	RetryAfter time.Duration // when the caller should retry; 0 = no advice
+	Step       string        // processing step that refused the request
+	Peer       string        // target or instance involved; "" = none
+	// Inputs are the values behind the decision, as alternating keys and values
+	// for the log.
 	Inputs []any
 }
 
@@ -358,9 +381,9 @@
 	return s
 }
 
-// Request is one request of a caller after admission checks.
+// Request is a caller's request that has passed the admission checks.
 type Request struct {
-	ID            string
+	ID            string // unique request id
 	Workspace     string
 	Pool          string
 	Method        string
@@ -370,50 +393,55 @@
 	Key           string // idempotency key, "" = none
 	NonIdempotent bool
 	Class         CostClass
-	Hint          float64
-	Deadline      time.Duration // time the caller waits for the answer's start; 0 = none
-	// Gone is closed when the caller's connection is lost.
+	Hint          float64       // the caller's estimate of the cost, in cost units; 0 = none
+	Deadline      time.Duration // how long the caller waits for the start of the response; 0 = none
+	// Gone is closed when the caller disconnects.
 	Gone <-chan struct{}
 }
 
-// AnswerHead is the status and header of a target's answer.
+// AnswerHead is the status and headers of a target's response.
 type AnswerHead struct {
-	Status int
+	Status int // HTTP status
 	Header map[string]string
-	Target string
+	Target string // name of the target that responded
 	// Length is the number of body bytes, or -1 if unknown.
 	Length int64
 	// Extra holds the second and further values of repeated headers, such as
-	// Set-Cookie, whose values cannot be joined.
+	// Set-Cookie, whose values cannot be joined, as pairs of name and value.
 	Extra [][2]string
 }
 
-// Answer is the answer to a request. Read returns io.EOF only after the whole
-// body was delivered; any other error means the answer is not whole. Close
-// frees the slot and cancels work that has not ended.
+// Answer is the response to a request.
 type Answer interface {
+	// Head returns the status and headers.
 	Head() AnswerHead
+	// Read reads the body. It returns io.EOF only after the whole body was
+	// delivered; any other error means that the response is incomplete.
 	Read(p []byte) (int, error)
+	// Close frees the slot and cancels work that has not ended.
 	Close() error
 }
 
-// TargetState is what the owner of a pool knows of a target.
+// TargetState is the state of a target as known to the owner of its pool.
 type TargetState struct {
 	Target  fleetconfig.Target
 	Warmth  Warmth // from the newest load report; WarmthUnknown without one
 	Boot    uint64 // boot number from the newest report, 0 if unknown
-	Leaving bool   // marked so in the platform's list
+	Leaving bool   // the platform's list marks the target as about to be removed
 	Out     bool   // its data centre is out of service
 }
 
-// TargetStates gives the states of the targets of the pools that this instance
-// owns. The result is empty for other pools.
+// TargetStates lists the states of targets in the pools that this instance owns.
 type TargetStates interface {
+	// States returns the states of the pool's targets; empty if this instance does
+	// not own the pool.
 	States(pool string) []TargetState
 }
 
-// Dispatcher runs a request: queue, grant, claim, send, retry, resume.
+// Dispatcher runs a request on a target: it queues the request, waits for a
+// grant, claims the idempotency key, sends, retries and resumes.
 type Dispatcher interface {
-	// Do returns the answer once its head is known, or a *Refusal.
+	// Do returns the response once its headers have arrived. The error is a
+	// *Refusal.
 	Do(ctx context.Context, r *Request) (Answer, error)
 }
--- a/internal/api/dialect.go
+++ b/internal/api/dialect.go
@@ -8,78 +8,86 @@
 	"nutmegrouter/internal/routing"
 )
 
-// Dialect translates between this program and the platform of a fleet with the
-// profile "routes": header names, paths and document formats. It decides nothing.
+// Dialect translates between the types of this program and the HTTP headers,
+// paths and document formats of the platform. It is used with the profile
+// "routes" and only translates; decisions are made by its users.
 type Dialect interface {
-	// Caller reads what a caller says about its request.
+	// Caller reads the headers of a caller's request. The error names an invalid
+	// header.
 	Caller(h *fasthttp.RequestHeader) (CallerFields, error)
-	// Forward sets what this program says to a target and removes what a caller
-	// must not say to it.
+	// Forward sets the headers of a request to a target and removes those that a
+	// caller must not set.
 	Forward(h *fasthttp.RequestHeader, f TargetFields)
-	// Answer reads what a target says in the head of its answer.
+	// Answer reads the response header of a target.
 	Answer(h *fasthttp.ResponseHeader) AnswerFields
-	// Refuse sets the advice of a refusal.
+	// Refuse sets the request id and the retry advice in the response header of a
+	// refusal. An empty id and a zero duration are left out.
 	Refuse(h *fasthttp.ResponseHeader, requestID string, retryAfter time.Duration)
-	// Document reads a configuration. The error tells why it is invalid.
+	// Document parses a configuration. The error says why it is invalid.
 	Document(raw []byte) (*routing.Table, error)
 	// DirectoryPath returns the path of a page of the list of targets; token is
 	// "" for the first page.
 	DirectoryPath(token string) string
-	// DirectoryPage reads a page of the list of targets. Entries that cannot be
-	// read are left out and counted.
+	// DirectoryPage parses a page of the list of targets. Entries that cannot be
+	// parsed are left out and counted.
 	DirectoryPage(raw []byte) (DirectoryPage, error)
-	// Order reads an operator's call.
+	// Order returns the order that an operator's HTTP call stands for; false if
+	// there is none with this method and path.
 	Order(method, path string) (Order, bool)
-	// ReadyPath is the path at which the balancer asks for readiness.
+	// ReadyPath returns the path of the load balancer's readiness check.
 	ReadyPath() string
 }
 
-// PromptPart is one part of a prompt. Requests with equal parts before it share it.
+// PromptPart is one part of a prompt. Two requests share a part in the prompt
+// cache only if all parts before it are equal, too.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// CallerFields is what a caller says about its request.
+// CallerFields are the fields in the headers of a caller's request.
 type CallerFields struct {
-	ID  string // of this attempt of the caller; "" if absent
-	Key string // of the workspace; "" if absent
-	// Deadline is how long the caller waits; 0 = not said.
+	ID  string // identity of this attempt of the caller; "" = absent
+	Key string // bearer key of the workspace; "" = absent
+	// Deadline is how long the caller waits; 0 = absent.
 	Deadline time.Duration
-	// After is the number of the last event that the caller has, or "".
+	// After is the id of the last event that the caller has received; "" = absent.
 	After string
 	Model string
-	// PromptTokens and OutputTokens are the prompt's length and the most that may
-	// be generated.
+	// PromptTokens is the length of the prompt, OutputTokens the largest number of
+	// tokens that may be generated.
 	PromptTokens, OutputTokens int
-	// OutputHint is the caller's guess of the tokens generated; 0 = none.
+	// OutputHint is the caller's estimate of the tokens generated; 0 = absent.
 	OutputHint int
 	Prompt     []PromptPart
 }
 
-// TargetFields is what this program says to a target.
+// TargetFields are the fields in the headers of a request to a target.
 type TargetFields struct {
 	Workspace string // "" on public routes without a key
-	// Deadline is how long the target may work.
+	// Deadline is how long the target may work on the request.
 	Deadline time.Duration
-	// Target is the identity that must answer.
+	// Target is the identity of the target that must respond. A target with
+	// another identity refuses the request.
 	Target string
-	// After resumes a stream after the event with this number; "" keeps what the
-	// caller said.
+	// After is the id of the event after which a stream resumes; "" keeps the
+	// caller's header.
 	After string
 }
 
-// AnswerFields is what a target says in the head of its answer.
+// AnswerFields are the fields in the response header of a target.
 type AnswerFields struct {
-	ID     string // of the request
-	Signed bool   // the answer bears a signature
-	// NotRun reports the promise that the request was not and will not be run.
+	ID     string // request id
+	Signed bool   // the response has a signature
+	// NotRun reports that the target guarantees that the request was not run and
+	// will not be.
 	NotRun bool
-	// OtherTarget reports that another target than the expected one answered.
+	// OtherTarget reports that the response is from another target than the
+	// expected one.
 	OtherTarget bool
-	// ColdFor is how long the target stays cold; 0 = not said.
+	// ColdFor is how long the target stays cold; 0 = absent.
 	ColdFor time.Duration
-	// IdleLimit is how long the target keeps an idle connection; 0 = not said.
+	// IdleLimit is how long the target keeps an idle connection open; 0 = absent.
 	IdleLimit time.Duration
 }
 
@@ -89,23 +97,25 @@
 	Service    string
 	Address    string // IP:port
 	DataCentre string
-	Slots      int
-	Leaving    bool
-	// ColdFor is how long the target stays cold from the time of the answer on.
+	Slots      int  // concurrent requests
+	Leaving    bool // about to be removed; must not be sent new requests
+	// ColdFor is how long the target stays cold, counted from the time of the
+	// response.
 	ColdFor time.Duration
-	// BornMs is the start of the target in milliseconds of the Unix time; 0 if
-	// not said. Another value under the same ID is another life.
+	// BornMs is the start time of the target in Unix milliseconds; 0 = absent. It
+	// identifies the incarnation: another value under the same ID means that the
+	// target was restarted.
 	BornMs int64
 }
 
 // DirectoryPage is one page of the list of targets.
 type DirectoryPage struct {
 	Entries    []DirectoryEntry
-	Unreadable int    // entries left out
+	Unreadable int    // number of entries that could not be parsed
 	Next       string // token of the next page; "" on the last one
 }
 
-// OrderKind tells what an operator asks for.
+// OrderKind is the kind of an operator's order.
 type OrderKind uint8
 
 // Kinds of orders.
@@ -113,11 +123,11 @@
 	OrderReplace OrderKind = iota + 1 // replace the configuration
 	OrderRead                         // read the configuration
 	OrderOut                          // take a data centre out of service
-	OrderBack                         // bring it back
+	OrderBack                         // bring a data centre back into service
 )
 
-// Order is an operator's call.
+// Order is an operator's order, parsed from an HTTP call.
 type Order struct {
 	Kind       OrderKind
-	DataCentre string // of OrderOut and OrderBack
+	DataCentre string // set for OrderOut and OrderBack
 }
--- a/internal/api/document.go
+++ b/internal/api/document.go
@@ -10,10 +10,11 @@
 	"nutmegrouter/internal/routing"
 )
 
-// maxDocument bounds a document after decompression, in bytes.
-const maxDocument = 64 << 20
+// maxDocumentBytes bounds a document after decompression, in bytes.
+const maxDocumentBytes = 64 << 20
 
-// PackDocument compresses a document for the log and the links.
+// PackDocument compresses a document for the control log and for messages
+// between instances.
 func PackDocument(raw []byte) []byte {
 	var out bytes.Buffer
 	w, _ := flate.NewWriter(&out, flate.BestSpeed) // fails only on an invalid level
@@ -22,16 +23,18 @@
 	return out.Bytes()
 }
 
-// UnpackDocument reverses PackDocument.
+// UnpackDocument decompresses the result of PackDocument. It fails if the
+// document is larger than 64 MiB.
 func UnpackDocument(packed []byte) ([]byte, error) {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDocument+1))
-	if err == nil && len(raw) > maxDocument {
-		err = errors.Errorf("document is larger than %d bytes", maxDocument)
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDocumentBytes+1))
+	if err == nil && len(raw) > maxDocumentBytes {
+		err = errors.Errorf("document is larger than %d bytes", maxDocumentBytes)
 	}
 	return raw, errors.WithMessage(err, "decompress document")
 }
 
-// Table reads the document of the view. A view without one has no table.
+// Table parses the document of the view. It returns nil for a view without a
+// document.
 func (v *View) Table(d Dialect) (*routing.Table, error) {
 	if v.Version == 0 {
 		return nil, nil
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -9,31 +9,32 @@
 	"nutmegrouter/internal/routing"
 )
 
-// Target is one target as the instances know it.
+// Target is one target in the directory.
 type Target struct {
 	ID         string
 	Service    string
 	Address    string // IP:port
 	DataCentre string
-	Slots      int
-	Leaving    bool
+	Slots      int  // concurrent requests
+	Leaving    bool // about to be removed; must not be sent new requests
 	// ColdUntil is the end of the cold start on the kernel clock; 0 = warm.
 	ColdUntil time.Duration
-	// BornMs tells apart the lives of a target under one ID; 0 = not said.
+	// BornMs is the start time of the target in Unix milliseconds, which identifies
+	// the incarnation of the target under its ID; 0 = unknown.
 	BornMs int64
 }
 
-// Directory tells which targets there are.
+// Directory lists the targets that the platform runs.
 type Directory interface {
-	// Targets returns the targets in the list, also those that leave. The slice
-	// is shared and must not be changed.
+	// Targets returns all targets in the list, including those that are leaving.
+	// The slice is shared and must not be changed.
 	Targets() []Target
-	// Target returns the target with an ID, if it is in the list.
+	// Target returns the target with the ID; false if it is not in the list.
 	Target(id string) (Target, bool)
-	// Known reports whether a list was received.
+	// Known reports whether a list has been received.
 	Known() bool
-	// OnChange registers a function called after the list has changed. It must
-	// not block. Register from Provision.
+	// OnChange registers a function that is called after the list has changed. It
+	// must not block. Register from Provision.
 	OnChange(f func())
 }
 
@@ -45,62 +46,65 @@
 	Service   string
 	Engine    *routing.Engine // nil for plain services
 	// PromptTokens, OutputTokens and Prompt describe a model request; zero
-	// otherwise. OutputTokens is the best guess, not the bound.
+	// otherwise. OutputTokens is the expected number of tokens generated, not the
+	// upper bound.
 	PromptTokens, OutputTokens int
 	Prompt                     []PromptPart
-	// Objective is when the answer, or its first event, is due; Deadline is when
-	// it is of no use any more. Both are on the kernel clock.
+	// Objective is when the response, or the first event of a stream, is due.
+	// Deadline is when the response becomes useless. Both are on the kernel clock.
 	Objective, Deadline time.Duration
-	// Tried lists the targets to which the request was sent before.
+	// Tried lists the IDs of the targets to which the request was already sent.
 	Tried []string
-	// Resumes reports that a stream goes on, so that the caller holds its begin.
+	// Resumes reports that a broken stream is resumed; the caller has already
+	// received its beginning.
 	Resumes bool
 }
 
 // Placement is a target on which a request may start now.
 type Placement interface {
+	// Target returns the target.
 	Target() Target
-	// Sent tells that the first byte of the request is about to be written. It
-	// fails if the target must not be used any more.
+	// Sent reports that the first byte of the request is about to be written. It
+	// fails if the target must no longer be used; then nothing may be sent.
 	Sent() error
-	// Began tells that the first byte of the answer arrived.
+	// Began reports that the first byte of the response has arrived.
 	Began()
-	// Progress tells the number of events received from the target.
+	// Progress reports the number of events received from the target so far.
 	Progress(events int)
-	// End ends the use of the target. It must be called once.
+	// End reports the outcome and frees the target. It must be called once.
 	End(o WorkOutcome)
 }
 
-// WorkOutcome tells how the use of a target ended.
+// WorkOutcome is how an attempt on a target ended.
 type WorkOutcome string
 
-// Outcomes of work on a target.
+// Outcomes of an attempt.
 const (
-	WorkServed      WorkOutcome = "served"      // whole answer
+	WorkServed      WorkOutcome = "served"      // the whole response was received
 	WorkUnreachable WorkOutcome = "unreachable" // no connection; nothing was sent
-	WorkUnsent      WorkOutcome = "unsent"      // given up before the first byte
-	WorkFull        WorkOutcome = "full"        // the target refused for want of room
+	WorkUnsent      WorkOutcome = "unsent"      // abandoned before the first byte was sent
+	WorkFull        WorkOutcome = "full"        // the target refused because it was full
 	WorkOther       WorkOutcome = "other"       // another target has the address
-	WorkFailed      WorkOutcome = "failed"      // error answer of the target
-	WorkBroken      WorkOutcome = "broken"      // no answer, or one that is not whole
-	WorkLate        WorkOutcome = "late"        // no answer in time
-	WorkCancelled   WorkOutcome = "cancelled"   // the caller went away
+	WorkFailed      WorkOutcome = "failed"      // the target returned an error response
+	WorkBroken      WorkOutcome = "broken"      // no response, or an incomplete one
+	WorkLate        WorkOutcome = "late"        // the target missed the deadline
+	WorkCancelled   WorkOutcome = "cancelled"   // the caller disconnected
 )
 
 // Placer finds targets for requests.
 type Placer interface {
-	// Precheck refuses a request whose workspace floods this instance; nil
-	// otherwise.
+	// Precheck refuses a request of an overloaded workspace, which sends far more
+	// than its share to this instance; nil = not refused.
 	Precheck(w *Work) *Refusal
-	// TurnedAway tells of a request that this instance refused for want of means of its
-	// own, so that shares count what was asked for.
+	// TurnedAway reports a request that this instance shed for lack of its own
+	// resources, so that its workspace's demand is counted in the shares.
 	TurnedAway(w *Work)
 	// Place waits until the request may start on a target. The error is a
-	// *Refusal, or the context's.
+	// *Refusal or the context's error.
 	Place(ctx context.Context, w *Work) (Placement, error)
 }
 
-// ForwardRequest is a request of a caller after the admission checks.
+// ForwardRequest is a caller's request that has passed the admission checks.
 type ForwardRequest struct {
 	ID        string
 	Route     *routing.Route
@@ -108,41 +112,44 @@
 	Engine    *routing.Engine // nil for plain services
 	Workspace string
 	Fields    CallerFields
-	// Header is the caller's. It is not changed.
+	// Header is the caller's request header. It is not modified.
 	Header *fasthttp.RequestHeader
 	Body   []byte
-	// Waited is the time that the caller spent on earlier attempts, as far as known.
+	// Waited is a lower bound of the time that the caller has spent on its earlier
+	// attempts.
 	Waited time.Duration
 	// Arrived is when the first byte of the request was read, Deadline when the
-	// answer must have ended. Both are on the kernel clock.
+	// response must be complete. Both are on the kernel clock.
 	Arrived, Deadline time.Duration
-	// Present looks whether the caller is still connected, also if the watch of its
-	// connection has had no processor time yet; nil = not known.
+	// Present checks the connection itself and reports whether the caller is still
+	// connected. Its result is right even if the goroutine that watches the
+	// connection has not been scheduled yet. nil = not known.
 	Present func() bool
 }
 
-// ForwardAnswer is the answer of a target.
+// ForwardAnswer is the response of a target.
 type ForwardAnswer interface {
-	// Header holds the target's status and headers. It is valid until Close.
+	// Header returns the target's status and headers. It is valid until Close.
 	Header() *fasthttp.ResponseHeader
-	// Whole returns the body if it was read to its end, or false for an answer
-	// that is to be read as it arrives.
+	// Whole returns the body if it is already complete; false if it must be read
+	// with Read while it arrives.
 	Whole() ([]byte, bool)
-	// Read returns io.EOF only after the whole body; any other error means that
-	// the answer is not whole.
+	// Read reads the body. It returns io.EOF only after the whole body; any other
+	// error means that the response is incomplete.
 	Read(p []byte) (int, error)
-	// Close ends the work if the answer was not read to its end.
+	// Close cancels the work on the target if the response was not read to its end.
 	Close() error
 }
 
 // Forwarder sends requests to targets.
 type Forwarder interface {
-	// Precheck refuses a request that need not be looked at further: its workspace
-	// sends many times its share. It is cheap, and nil otherwise.
+	// Precheck refuses a request of an overloaded workspace, which sends many times
+	// its share, before more work is spent on it; nil = not refused. It is cheap.
 	Precheck(r *ForwardRequest) *Refusal
-	// TurnedAway tells of a request that the instance refused after Precheck.
+	// TurnedAway reports a request that the instance shed after Precheck, for lack
+	// of its own resources.
 	TurnedAway(r *ForwardRequest)
-	// Forward returns the answer once its head is known. The error is a *Refusal,
-	// or the context's when the caller went away.
+	// Forward returns the response once its headers have arrived. The error is a
+	// *Refusal, or the context's error after the caller has disconnected.
 	Forward(ctx context.Context, r *ForwardRequest) (ForwardAnswer, error)
 }
--- a/internal/api/outcome.go
+++ b/internal/api/outcome.go
@@ -5,9 +5,9 @@
 	"unicode/utf8"
 )
 
-// outcomeForm is the JSON form of a ClaimOutcome. A body of text is kept as
-// text, which is shorter than base64 and compresses better.
-type outcomeForm struct {
+// claimOutcomeJSON is the JSON encoding of a ClaimOutcome. A body in valid UTF-8 is
+// encoded as text, which is shorter than base64 and compresses better.
+type claimOutcomeJSON struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Text        string `json:"text,omitempty"`
@@ -17,7 +17,7 @@
 
 // MarshalJSON implements json.Marshaler.
 func (o ClaimOutcome) MarshalJSON() ([]byte, error) {
-	f := outcomeForm{Status: o.Status, ContentType: o.ContentType, Truncated: o.Truncated}
+	f := claimOutcomeJSON{Status: o.Status, ContentType: o.ContentType, Truncated: o.Truncated}
 	if utf8.Valid(o.Body) {
 		f.Text = string(o.Body)
 	} else {
@@ -28,7 +28,7 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (o *ClaimOutcome) UnmarshalJSON(raw []byte) error {
-	var f outcomeForm
+	var f claimOutcomeJSON
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return err
 	}
--- a/internal/api/outcome_test.go
+++ b/internal/api/outcome_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a stored outcome that differs from the answer of the target.
+// Guards against an outcome that changes when it is encoded and decoded.
 func TestClaimOutcomeRoundTrip(t *testing.T) {
 	for _, body := range [][]byte{nil, []byte(`{"reservation": "<7>"}`), {0xff, 0, 1}, []byte("\u2028é")} {
 		is := is.New(t)
--- a/internal/kernel/clock_test.go
+++ b/internal/kernel/clock_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against time that passed while the process or the machine was stopped and does
-// not count: the monotonic clock stands still during a suspension.
+// Guards against a suspension of the machine that is not counted because the monotonic
+// clock stands still.
 func TestSinceCountsSuspension(t *testing.T) {
 	is := is.New(t)
 	at := Instant{Monotonic: time.Minute, Wall: time.Hour}
@@ -17,13 +17,14 @@
 	}
 	is.Equal(after(time.Second, time.Second), time.Second)
 	is.Equal(after(time.Millisecond, 5*time.Second), 5*time.Second) // suspended
-	is.Equal(after(time.Second, -time.Minute), time.Second)         // the time of day was set back
+	is.Equal(after(time.Second, -time.Minute), time.Second)         // the wall clock was set back
 	begin := Now()
 	time.Sleep(20 * time.Millisecond)
 	is.True(Now().Since(begin) >= 20*time.Millisecond)
 }
 
-// Guards against a pause that is not told from a time in which nobody looked.
+// Guards against a suspension that is not detected, and against a time without calls of
+// Look that counts as one.
 func TestLapse(t *testing.T) {
 	is := is.New(t)
 	var l Lapse
--- a/internal/kernel/context.go
+++ b/internal/kernel/context.go
@@ -10,7 +10,8 @@
 	"nutmegrouter/internal/settings"
 )
 
-// Context gives plug-ins what the kernel owns.
+// Context gives plug-ins access to the settings, log, metrics, clock and events of
+// the process and to each other's services.
 type Context struct {
 	Settings *settings.Settings
 	Log      *slog.Logger
@@ -21,8 +22,8 @@
 	services map[reflect.Type]any
 }
 
-// NewContext returns a context with an empty service table. Tests use it to
-// provision a single plug-in.
+// NewContext returns a context without services. Tests use it to provision a single
+// plug-in.
 func NewContext(s *settings.Settings, log *slog.Logger, clock Clock) *Context {
 	return &Context{
 		Settings: s,
@@ -34,7 +35,8 @@
 	}
 }
 
-// Provide offers a service under the interface type T.
+// Provide registers a service under the interface type T. It fails if T is already
+// provided.
 func Provide[T any](c *Context, service T) error {
 	t := reflect.TypeFor[T]()
 	if _, ok := c.services[t]; ok {
@@ -44,7 +46,8 @@
 	return nil
 }
 
-// Lookup returns the service of the interface type T.
+// Lookup returns the service registered under the interface type T. It fails if
+// there is none.
 func Lookup[T any](c *Context) (T, error) {
 	t := reflect.TypeFor[T]()
 	s, ok := c.services[t].(T)
--- a/internal/kernel/duties.go
+++ b/internal/kernel/duties.go
@@ -9,22 +9,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Duties starts the goroutines of plug-ins under one errgroup.
+// Duties runs the goroutines of plug-ins in one errgroup.
 type Duties struct {
 	ctx   context.Context
 	group *errgroup.Group
 }
 
-// NewDuties returns duties that end when the parent context ends or one fails.
+// NewDuties returns an empty group. Its duties end when the parent context ends or
+// one of them fails.
 func NewDuties(parent context.Context) *Duties {
 	g, ctx := errgroup.WithContext(parent)
 	return &Duties{ctx: ctx, group: g}
 }
 
-// Context ends when the duties must end.
+// Context returns the context of the duties, which ends when they must return.
 func (d *Duties) Context() context.Context { return d.ctx }
 
-// Go runs a duty. A returned error other than the context's ends all duties.
+// Go runs f as a duty. An error of f other than the context's ends all duties.
 func (d *Duties) Go(name string, f func(ctx context.Context) error) {
 	d.group.Go(func() error {
 		err := f(d.ctx)
@@ -40,8 +41,8 @@
 	d.EveryOr(name, interval, nil, f)
 }
 
-// EveryOr runs f at a fixed interval, and at once when kick is signalled.
-func (d *Duties) EveryOr(name string, interval time.Duration, kick <-chan struct{}, f func(ctx context.Context)) {
+// EveryOr runs f at a fixed interval and immediately after a value arrives on wake.
+func (d *Duties) EveryOr(name string, interval time.Duration, wake <-chan struct{}, f func(ctx context.Context)) {
 	d.Go(name, func(ctx context.Context) error {
 		t := time.NewTicker(interval)
 		defer t.Stop()
@@ -49,7 +50,7 @@
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-kick:
+			case <-wake:
 			case <-t.C:
 			}
 			f(ctx)
@@ -57,7 +58,7 @@
 	})
 }
 
-// Serve runs a server on a listener, which closes when the duties end.
+// Serve runs a server on a listener, which it closes when the duties end.
 func (d *Duties) Serve(name string, ln net.Listener, serve func(net.Listener) error) {
 	d.Go(name, func(context.Context) error { return serve(ln) })
 	d.Go(name+" stop", func(ctx context.Context) error {
@@ -66,5 +67,5 @@
 	})
 }
 
-// Wait returns the first error after all duties have ended.
+// Wait blocks until all duties have ended and returns the first error.
 func (d *Duties) Wait() error { return d.group.Wait() }
--- a/internal/kernel/events.go
+++ b/internal/kernel/events.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Stamp is a hybrid logical clock value: wall time in milliseconds and a
-// counter that orders events within one millisecond and across instances.
+// Stamp is the value of a hybrid logical clock: wall time in Unix milliseconds and
+// a counter that orders events within one millisecond and across instances.
 type Stamp struct {
 	UnixMs int64  `json:"ms"`
 	Count  uint32 `json:"n"`
 }
 
-// Less orders stamps.
+// Less reports whether s is before o.
 func (s Stamp) Less(o Stamp) bool {
 	if s.UnixMs != o.UnixMs {
 		return s.UnixMs < o.UnixMs
@@ -20,7 +20,8 @@
 	return s.Count < o.Count
 }
 
-// Event is one change of state on an instance. Empty fields do not apply.
+// Event is one change of state on an instance. Fields that do not apply to its kind
+// are empty.
 type Event struct {
 	Stamp      Stamp  `json:"stamp"`
 	Instance   string `json:"instance"`
@@ -37,7 +38,7 @@
 	Detail     string `json:"detail,omitempty"`
 }
 
-// Events is a bounded ring of the newest events of this instance, stamped by a
+// Events is a bounded buffer of the newest events of this instance, stamped by a
 // hybrid logical clock. It is safe for concurrent use.
 type Events struct {
 	mu       sync.Mutex
@@ -49,7 +50,7 @@
 	dropped  uint64
 }
 
-// NewEvents returns a ring for size events; size < 1 keeps 4096.
+// NewEvents returns a buffer with a capacity of size events, or of 4096 if size < 1.
 func NewEvents(instance string, size int) *Events {
 	if size < 1 {
 		size = 4096
@@ -57,7 +58,8 @@
 	return &Events{instance: instance, wall: time.Now, buf: make([]Event, 0, size)}
 }
 
-// Record stamps and stores an event. The oldest event gives way in a full ring.
+// Record stamps and stores an event. If the buffer is full it overwrites the oldest
+// event.
 func (e *Events) Record(ev Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,7 +88,8 @@
 	e.tick(s)
 }
 
-// tick moves the clock past both the wall clock and the received stamp.
+// tick advances the clock past its last value and the received stamp, at least to
+// the wall clock, and returns the new value.
 func (e *Events) tick(received Stamp) Stamp {
 	now := Stamp{UnixMs: e.wall().UnixMilli()}
 	next := e.last
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -16,16 +16,16 @@
 	"nutmegrouter/internal/settings"
 )
 
-// recorder is a plug-in that records the calls of the kernel.
+// recorder is a plug-in that records the calls of the kernel and fails at failStep.
 type recorder struct {
-	name  string
-	calls *[]string
-	fail  string
+	name     string
+	calls    *[]string
+	failStep string
 }
 
 func (r *recorder) call(step string) error {
 	*r.calls = append(*r.calls, step+" "+r.name)
-	if r.fail == step {
+	if r.failStep == step {
 		return errors.New("broken")
 	}
 	return nil
@@ -61,8 +61,8 @@
 	return Run(context.Background(), &settings.Settings{Instance: "i"}, Host{Log: log, Stop: stop})
 }
 
-// Guards against plug-ins started out of order and drained before those that
-// depend on them.
+// Guards against plug-ins that start out of order, or drain before those that depend
+// on them.
 func TestRunOrder(t *testing.T) {
 	is := is.New(t)
 	calls := withPlugins(t, &recorder{name: "a"}, &recorder{name: "b"})
@@ -73,30 +73,29 @@
 	})
 }
 
-// Guards against an error that does not name its step and plug-in, and against
-// a later step that runs after it.
+// Guards against an error of a step that does not name the step and the plug-in.
 func TestRunErrors(t *testing.T) {
 	for step, want := range map[string]string{
 		"provision": "provision a: broken",
 		"validate":  "validate a: broken",
 	} {
 		is := is.New(t)
-		withPlugins(t, &recorder{name: "a", fail: step})
+		withPlugins(t, &recorder{name: "a", failStep: step})
 		err := runUntilStopped(t)
 		is.True(err != nil)
 		is.Equal(err.Error(), want)
 	}
 }
 
-// Guards against a failed start that leaves the process running or loses its cause.
+// Guards against a failed start that leaves the process running or skips Cleanup.
 func TestRunStartFails(t *testing.T) {
 	is := is.New(t)
-	calls := withPlugins(t, &recorder{name: "a", fail: "start"}, &recorder{name: "b"})
+	calls := withPlugins(t, &recorder{name: "a", failStep: "start"}, &recorder{name: "b"})
 	is.True(runUntilStopped(t) != nil)
 	is.Equal((*calls)[len(*calls)-2:], []string{"cleanup b", "cleanup a"})
 }
 
-// Guards against a doubled registration that hides a plug-in.
+// Guards against a second registration that silently replaces a plug-in.
 func TestRegisterTwice(t *testing.T) {
 	is := is.New(t)
 	withPlugins(t, &recorder{name: "a"})
@@ -104,9 +103,8 @@
 	Register(Registration{Name: "a", New: func() Plugin { return nil }})
 }
 
-// Guards against a full ring that blocks its producer or loses the count of
-// refused values.
-func TestRingRefuses(t *testing.T) {
+// Guards against a full ring that blocks its producer or does not count refused values.
+func TestFullRingRefuses(t *testing.T) {
 	is := is.New(t)
 	set := metrics.NewSet()
 	r := NewRing[int](set, "test", 2)
@@ -125,8 +123,8 @@
 	is.True(errors.Is(err, context.Canceled))
 }
 
-// Guards against an event stamped before one that its instance had observed,
-// also when the wall clock goes back.
+// Guards against a stamp before one that the instance has already observed, also when
+// the wall clock is set back.
 func TestEventsCausalOrder(t *testing.T) {
 	is := is.New(t)
 	wall := time.UnixMilli(1000)
@@ -139,7 +137,7 @@
 	is.True(first.Less(e.Now()))
 }
 
-// Guards against a ring of events that grows or returns them out of order.
+// Guards against an event buffer that grows beyond its bound or loses the order.
 func TestEventsBounded(t *testing.T) {
 	is := is.New(t)
 	e := NewEvents("i", 3)
--- a/internal/kernel/kerneltest/clock.go
+++ b/internal/kernel/kerneltest/clock.go
@@ -1,4 +1,4 @@
-// Package kerneltest provides a clock that tests set.
+// Package kerneltest provides a fake clock for tests.
 package kerneltest
 
 import (
@@ -8,26 +8,27 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// Clock implements kernel.Clock. The zero value stands still; it is safe for concurrent
-// use.
+// Clock is a kernel.Clock that only moves when a test calls Pass. The zero value is
+// ready for use. It is safe for concurrent use.
 type Clock struct {
-	mu sync.Mutex
-	at kernel.Instant
+	mu  sync.Mutex
+	now kernel.Instant
 }
 
 // Now implements kernel.Clock.
 func (c *Clock) Now() time.Duration { return c.Instant().Monotonic }
 
-// Instant returns the present moment by both clocks.
+// Instant returns the current time on both clocks.
 func (c *Clock) Instant() kernel.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.at
+	return c.now
 }
 
-// Pass lets time pass. The monotonic clock stands still while a machine is suspended.
+// Pass advances the clocks by the given times. A smaller monotonic time than wall time
+// stands for a suspended machine.
 func (c *Clock) Pass(monotonic, wall time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at.Monotonic, c.at.Wall = c.at.Monotonic+monotonic, c.at.Wall+wall
+	c.now.Monotonic, c.now.Wall = c.now.Monotonic+monotonic, c.now.Wall+wall
 }
--- a/internal/kernel/plugin.go
+++ b/internal/kernel/plugin.go
@@ -9,32 +9,35 @@
 	"nutmegrouter/internal/settings"
 )
 
-// Plugin is a unit of the daemon. The optional interfaces Validator, Starter,
-// Drainer and Cleaner are called if implemented.
+// Plugin is a component of the daemon. The kernel also calls the optional
+// interfaces Validator, Starter, Drainer, Cleaner and Reloader if a plug-in
+// implements them.
 type Plugin interface {
-	// Provision reads settings, provides services and looks up those of
-	// plug-ins earlier in the order. It starts nothing.
+	// Provision reads the settings, provides services and looks up those of
+	// plug-ins earlier in the order. It must not start goroutines.
 	Provision(c *Context) error
 }
 
 // Validator checks a provisioned plug-in before anything starts.
 type Validator interface{ Validate() error }
 
-// Starter registers duties. Services of all plug-ins may be looked up.
+// Starter starts the duties of a plug-in. Start may use the services of all
+// plug-ins, because all are provisioned by then.
 type Starter interface{ Start(d *Duties) error }
 
-// Drainer takes part in a planned stop. Drain returns when the plug-in has
-// finished the work under way or the context ends.
+// Drainer completes the work in progress during a planned stop.
 type Drainer interface {
+	// Drain returns when no work is in progress or the context ends.
 	Drain(ctx context.Context) error
 }
 
 // Cleaner releases resources after all duties have ended.
 type Cleaner interface{ Cleanup() error }
 
-// Reloader takes settings that have changed while the process runs.
+// Reloader applies settings that change while the process runs.
 type Reloader interface {
-	// Reload must not block. Settings that it does not follow stay as they were.
+	// Reload applies the new settings as far as the plug-in supports changes at run
+	// time; all others keep their values from the start. It must not block.
 	Reload(s *settings.Settings)
 }
 
@@ -44,26 +47,27 @@
 	Name string
 	// Order sorts plug-ins; lower ones are provisioned first.
 	Order int
-	// New makes an instance with useful zero values.
+	// New returns a plug-in that is ready for Provision.
 	New func() Plugin
-	// Wanted reports whether an instance with these settings runs the plug-in;
-	// nil = with the profile "pools".
+	// Wanted reports whether the plug-in is enabled with these settings; nil
+	// enables it with the profile "pools".
 	Wanted func(*settings.Settings) bool
 }
 
-// Everywhere wants a plug-in with every profile.
+// Everywhere enables a plug-in with every profile. Like the functions below it is
+// a value for Registration.Wanted.
 func Everywhere(*settings.Settings) bool { return true }
 
-// Routed wants a plug-in with the profile "routes".
+// Routed enables a plug-in with the profile "routes".
 func Routed(s *settings.Settings) bool { return s.Routed() }
 
-// RoutedEntry wants a plug-in with the profile "routes" on instances that serve callers.
+// RoutedEntry enables a plug-in on entry instances of the profile "routes".
 func RoutedEntry(s *settings.Settings) bool { return s.Routed() && s.ServesCallers() }
 
-// RoutedControl wants a plug-in with the profile "routes" on control instances.
+// RoutedControl enables a plug-in on control instances of the profile "routes".
 func RoutedControl(s *settings.Settings) bool { return s.Routed() && !s.ServesCallers() }
 
-// RoutedControlOrPools wants a plug-in with the profile "pools" and on control
+// RoutedControlOrPools enables a plug-in with the profile "pools" and on control
 // instances of the profile "routes".
 func RoutedControlOrPools(s *settings.Settings) bool { return !s.Routed() || RoutedControl(s) }
 
@@ -74,7 +78,7 @@
 	return !s.Routed()
 }
 
-// Orders of the standard plug-ins.
+// Values of Registration.Order for the standard plug-ins.
 const (
 	OrderTimeline  = 10
 	OrderDialect   = 15
@@ -98,8 +102,8 @@
 	byName map[string]Registration
 }{byName: map[string]Registration{}}
 
-// Register adds a plug-in. It panics on an empty or doubled name because that is
-// an error of the program, found at its first start.
+// Register adds a plug-in. It panics if the name is empty or already registered or
+// New is nil, because that is a programming error that shows at the first start.
 func Register(r Registration) {
 	registry.Lock()
 	defer registry.Unlock()
@@ -112,7 +116,7 @@
 	registry.byName[r.Name] = r
 }
 
-// Registered returns all registrations in their order.
+// Registered returns all registrations, sorted by Order and then by Name.
 func Registered() []Registration {
 	registry.Lock()
 	defer registry.Unlock()
--- a/internal/kernel/ring.go
+++ b/internal/kernel/ring.go
@@ -6,15 +6,15 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Ring is a bounded queue between two duties. A full ring refuses values and
-// counts the refusals; it never blocks a producer.
+// Ring is a bounded FIFO queue between duties. A full ring refuses values and counts
+// the refusals; it never blocks a producer.
 type Ring[T any] struct {
 	ch      chan T
 	refused *metrics.Counter
 }
 
-// NewRing returns a ring for size values. The counter ring_refused_total with
-// the ring's name counts refusals.
+// NewRing returns a ring with a capacity of size values. The counter
+// nutmeg_ring_refused_total with the ring's name counts the refusals.
 func NewRing[T any](set *metrics.Set, name string, size int) *Ring[T] {
 	return &Ring[T]{
 		ch:      make(chan T, size),
@@ -22,7 +22,7 @@
 	}
 }
 
-// Push adds a value and reports whether there was room.
+// Push adds a value. It returns false if the ring is full.
 func (r *Ring[T]) Push(v T) bool {
 	select {
 	case r.ch <- v:
@@ -33,7 +33,8 @@
 	}
 }
 
-// Pop waits for a value or the context's end.
+// Pop removes the oldest value. It waits until there is one or the context ends, and
+// then returns the context's error.
 func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
 	select {
 	case v := <-r.ch:
@@ -50,8 +51,8 @@
 // Len returns the number of values in the ring.
 func (r *Ring[T]) Len() int { return len(r.ch) }
 
-// Signal wakes the duty that reads the channel, which needs room for one value.
-// Signals that arrive before it is read count as one. It never blocks.
+// Signal wakes the duty that reads the channel, which must have a capacity of one.
+// Signals sent before the duty reads the channel are merged into one. It never blocks.
 func Signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/kernel/run.go
+++ b/internal/kernel/run.go
@@ -14,26 +14,30 @@
 	"nutmegrouter/internal/settings"
 )
 
-// Host is what the process gives the kernel.
+// Host holds the resources of the process that the kernel uses.
 type Host struct {
 	Log *slog.Logger
-	// Metrics holds counters that exist before the kernel; nil = none.
+	// Metrics is the set to which the kernel and the plug-ins add their metrics;
+	// nil = a new set.
 	Metrics *metrics.Set
-	// Stop starts a planned stop; a second signal ends the process at once.
+	// Stop delivers the signals for a planned stop. A second signal cancels the
+	// drain, so that the process ends at once.
 	Stop <-chan os.Signal
-	// Reload has the settings read again; nil = never.
+	// Reload delivers the signals to read the settings again; nil = none.
 	Reload <-chan os.Signal
-	// Load reads the settings; nil = they never change.
+	// Load reads the settings; nil = the settings are never reloaded.
 	Load func() (*settings.Settings, error)
 }
 
-type loaded struct {
+// loadedPlugin is a provisioned plug-in with its registered name.
+type loadedPlugin struct {
 	name   string
 	plugin Plugin
 }
 
-// Run loads all registered plug-ins and runs them until a duty fails, the
-// context ends, or a signal asks for a stop.
+// Run provisions and starts the enabled plug-ins and runs them until a duty fails,
+// the context ends, or a planned stop requested by a signal is complete. It returns
+// the first error.
 func Run(ctx context.Context, s *settings.Settings, host Host) error {
 	c := NewContext(s, host.Log, NewClock())
 	if host.Metrics != nil {
@@ -49,12 +53,12 @@
 	if err := start(plugins, d); err != nil {
 		cancel()
 		_ = d.Wait() // the failed start is the cause to report
-		return joinCleanup(plugins, err)
+		return cleanUp(plugins, err)
 	}
 	logqueue.Notice(c.Log, "started", "step", "start", "data_centre", s.DataCentre, "profile", s.Profile, "mesh", s.Mesh)
 	c.Events.Record(Event{Kind: "instance", Step: "start"})
 	d.Go("signals", func(ctx context.Context) error {
-		waitStop(ctx, c, plugins, host.Stop)
+		waitForStop(ctx, c, plugins, host.Stop)
 		cancel()
 		return nil
 	})
@@ -64,11 +68,11 @@
 			return ctx.Err()
 		})
 	}
-	return joinCleanup(plugins, d.Wait())
+	return cleanUp(plugins, d.Wait())
 }
 
-func provision(c *Context) ([]loaded, error) {
-	var out []loaded
+func provision(c *Context) ([]loadedPlugin, error) {
+	var out []loadedPlugin
 	for _, r := range Registered() {
 		if !r.wanted(c.Settings) {
 			continue
@@ -77,7 +81,7 @@
 		if err := p.Provision(c); err != nil {
 			return nil, errors.WithMessage(err, "provision "+r.Name)
 		}
-		out = append(out, loaded{r.Name, p})
+		out = append(out, loadedPlugin{r.Name, p})
 	}
 	for _, l := range out {
 		if v, ok := l.plugin.(Validator); ok {
@@ -89,7 +93,7 @@
 	return out, nil
 }
 
-func start(plugins []loaded, d *Duties) error {
+func start(plugins []loadedPlugin, d *Duties) error {
 	for _, l := range plugins {
 		if s, ok := l.plugin.(Starter); ok {
 			if err := s.Start(d); err != nil {
@@ -100,38 +104,38 @@
 	return nil
 }
 
-// settingsInterval is how often the settings are read without a signal: the file
-// may change without one.
+// settingsInterval is the polling interval of the settings file, which may change
+// without a signal.
 const settingsInterval = 2 * time.Second
 
-// followSettings hands changed settings to the plug-ins. Settings with faults
-// leave the former ones in force.
-func followSettings(ctx context.Context, c *Context, plugins []loaded, host Host) {
+// followSettings reloads the settings at each signal and interval and passes
+// changed ones to the plug-ins. After an error the previous settings stay in force.
+func followSettings(ctx context.Context, c *Context, plugins []loadedPlugin, host Host) {
 	t := time.NewTicker(settingsInterval)
 	defer t.Stop()
 	current := c.Settings
 	for {
-		why := "poll"
+		trigger := "poll"
 		select {
 		case <-ctx.Done():
 			return
 		case sig := <-host.Reload:
-			why = sig.String()
+			trigger = sig.String()
 		case <-t.C:
 		}
 		s, err := host.Load()
 		if err != nil {
-			c.Log.Error("settings not reloaded", "step", "reload", "why", why, "error", err)
+			c.Log.Error("settings not reloaded", "step", "reload", "why", trigger, "error", err)
 			continue
 		}
 		if reflect.DeepEqual(s, current) {
-			if why != "poll" {
-				logqueue.Notice(c.Log, "settings unchanged", "step", "reload", "why", why)
+			if trigger != "poll" {
+				logqueue.Notice(c.Log, "settings unchanged", "step", "reload", "why", trigger)
 			}
 			continue
 		}
 		current = s
-		logqueue.Notice(c.Log, "settings reloaded", "step", "reload", "why", why)
+		logqueue.Notice(c.Log, "settings reloaded", "step", "reload", "why", trigger)
 		for _, l := range plugins {
 			if r, ok := l.plugin.(Reloader); ok {
 				r.Reload(s)
@@ -140,9 +144,10 @@
 	}
 }
 
-// waitStop drains the plug-ins in reverse order, entry first, so that callers
-// are served by everything below while requests are still under way.
-func waitStop(ctx context.Context, c *Context, plugins []loaded, stop <-chan os.Signal) {
+// waitForStop waits for the stop signal and then drains the plug-ins. It does so in
+// reverse order, entry first, because the requests in progress need the plug-ins
+// that come earlier in the order.
+func waitForStop(ctx context.Context, c *Context, plugins []loadedPlugin, stop <-chan os.Signal) {
 	select {
 	case <-ctx.Done():
 		return
@@ -150,36 +155,38 @@
 		logqueue.Notice(c.Log, "stopping", "step", "drain", "signal", sig.String())
 		c.Events.Record(Event{Kind: "instance", Step: "drain"})
 	}
-	drain, cancel := context.WithTimeout(ctx, c.Settings.StopLimit())
+	drainCtx, cancel := context.WithTimeout(ctx, c.Settings.StopLimit())
 	defer cancel()
 	go func() {
 		select {
 		case <-stop:
 			cancel()
-		case <-drain.Done():
+		case <-drainCtx.Done():
 		}
 	}()
 	begin := time.Now()
 	for i := len(plugins) - 1; i >= 0; i-- {
-		dr, ok := plugins[i].plugin.(Drainer)
+		drainer, ok := plugins[i].plugin.(Drainer)
 		if !ok {
 			continue
 		}
-		if err := dr.Drain(drain); err != nil {
+		if err := drainer.Drain(drainCtx); err != nil {
 			c.Log.Warn("drain ended early", "step", "drain", "plugin", plugins[i].name, "error", err)
 		}
 	}
 	logqueue.Notice(c.Log, "drained", "step", "drain", "took", time.Since(begin).Round(time.Millisecond).String())
 }
 
-func joinCleanup(plugins []loaded, err error) error {
+// cleanUp calls Cleanup on all plug-ins in reverse order. It returns err or, if
+// that is nil, the first error of a Cleanup.
+func cleanUp(plugins []loadedPlugin, err error) error {
 	for i := len(plugins) - 1; i >= 0; i-- {
-		cl, ok := plugins[i].plugin.(Cleaner)
+		cleaner, ok := plugins[i].plugin.(Cleaner)
 		if !ok {
 			continue
 		}
-		if cerr := cl.Cleanup(); cerr != nil && err == nil {
-			err = errors.WithMessage(cerr, "clean up "+plugins[i].name)
+		if cleanupErr := cleaner.Cleanup(); cleanupErr != nil && err == nil {
+			err = errors.WithMessage(cleanupErr, "clean up "+plugins[i].name)
 		}
 	}
 	return err
