--- a/fleetconfig/config_test.go
+++ b/fleetconfig/config_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func example() *Config {
+func exampleConfig() *Config {
 	return &Config{
 		Fleet:       "amman",
 		DataCentres: []DataCentre{{Name: "amman-a"}, {Name: "amman-b"}},
@@ -21,7 +21,7 @@
 	}
 }
 
-// Guards against invalid documents being accepted, and against problems that do
+// Guards against invalid documents that are accepted, and against problems that do
 // not name their field.
 func TestValidateProblems(t *testing.T) {
 	cases := []struct {
@@ -34,7 +34,7 @@
 		{"zero weight", func(c *Config) { c.Workspaces[0].Weight = 0 }, "workspaces[0].weight"},
 		{"no key", func(c *Config) { c.Workspaces[0].KeyHashes = nil }, "workspaces[0].key_hashes"},
 		{"short hash", func(c *Config) { c.Workspaces[0].KeyHashes = []string{"ab"} }, "workspaces[0].key_hashes[0]"},
-		{"doubled key", func(c *Config) {
+		{"duplicate key", func(c *Config) {
 			w := c.Workspaces[0]
 			w.Name = "other"
 			c.Workspaces = append(c.Workspaces, w)
@@ -46,7 +46,7 @@
 		{"unknown pool", func(c *Config) { c.Targets[0].Pool = "x" }, "targets[0].pool"},
 		{"unknown data centre", func(c *Config) { c.Targets[0].DataCentre = "x" }, "targets[0].data_centre"},
 		{"host name", func(c *Config) { c.Targets[0].Address = "host:1" }, "targets[0].address"},
-		{"doubled address", func(c *Config) { c.Targets[1].Address = c.Targets[0].Address }, "targets[1].address"},
+		{"duplicate address", func(c *Config) { c.Targets[1].Address = c.Targets[0].Address }, "targets[1].address"},
 		{"cold above warm", func(c *Config) { c.Targets[0].ColdCapacity = 9 }, "targets[0].cold_capacity"},
 		{"no cold capacity", func(c *Config) { c.Targets[0].ColdCapacity = 0 }, "targets[0].cold_capacity"},
 		{"bad time", func(c *Config) { c.Moves[0].OutAt = "Saturday" }, "moves[0].out_at"},
@@ -57,11 +57,11 @@
 			c.Moves = append(c.Moves, m)
 		}, "moves"},
 	}
-	is.New(t).NoErr(Validate(example()))
+	is.New(t).NoErr(Validate(exampleConfig()))
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			cfg := example()
+			cfg := exampleConfig()
 			c.change(cfg)
 			problems, ok := Validate(cfg).(Problems)
 			is.True(ok)
@@ -71,35 +71,35 @@
 	}
 }
 
-// Guards against a document that changes when it is printed and read again.
+// Guards against a document that changes when it is printed and parsed again.
 func TestCanonicalRoundTrip(t *testing.T) {
 	is := is.New(t)
-	first, err := Canonical(example())
+	first, err := Canonical(exampleConfig())
 	is.NoErr(err)
 	cfg, err := Parse(first)
 	is.NoErr(err)
 	second, err := Canonical(cfg)
 	is.NoErr(err)
 	is.Equal(string(first), string(second))
-	is.Equal(len(Diff(example(), cfg)), 0)
+	is.Equal(len(Diff(exampleConfig(), cfg)), 0)
 }
 
-// Guards against a difference that misses or misnames an item.
+// Guards against a diff that omits an item or reports it under a wrong name.
 func TestDiff(t *testing.T) {
 	is := is.New(t)
-	to := example()
+	to := exampleConfig()
 	to.Workspaces[0].Weight = 2
 	to.Targets = to.Targets[:1]
 	to.DataCentres = append(to.DataCentres, DataCentre{Name: "amman-c"})
 	var got []string
-	for _, c := range Diff(example(), to) {
+	for _, c := range Diff(exampleConfig(), to) {
 		got = append(got, c.Op+" "+c.Item)
 	}
 	is.Equal(got, []string{"add data_centre amman-c", "remove target c1", "change workspace shop"})
 }
 
-// Guards against unknown fields and trailing data being ignored.
-func TestParseRefuses(t *testing.T) {
+// Guards against a parser that ignores unknown fields or trailing data.
+func TestParseRejectsInvalid(t *testing.T) {
 	for _, text := range []string{`{"fleets": "x"}`, `{} {}`, `[`, `null`, ``} {
 		_, err := Parse([]byte(text))
 		is.New(t).True(err != nil)
--- a/fleetconfig/defaults.go
+++ b/fleetconfig/defaults.go
@@ -11,12 +11,12 @@
 	DefaultReportLag    = 2 * time.Second
 )
 
-// DefaultLoadsPerMinute is the rate of weight loads without a setting.
+// DefaultLoadsPerMinute is the default of Config.WeightLoadsPerMinute.
 const DefaultLoadsPerMinute = 30
 
-// LoadInterval returns the time between two load orders of one engine pool. The
-// pools share the weight store's rate evenly, so that their owners need not
-// coordinate.
+// LoadInterval returns the minimum time between two load orders of one engine pool.
+// Each pool has an equal part of the weight store's rate, so that the owners of the
+// pools need not coordinate.
 func (c *Config) LoadInterval() time.Duration {
 	perMinute := c.WeightLoadsPerMinute
 	if perMinute <= 0 {
@@ -31,7 +31,8 @@
 	return time.Minute / time.Duration(perMinute) * time.Duration(max(1, engines))
 }
 
-// QueueLimitFor returns the bound on waiting requests of a workspace on one router.
+// QueueLimitFor returns the bound on the queued requests of a workspace on one
+// instance: the workspace's limit, else the pool's, else the default.
 func (p Pool) QueueLimitFor(w Workspace) int {
 	if w.QueueLimit > 0 {
 		return w.QueueLimit
@@ -42,26 +43,26 @@
 	return DefaultQueueLimit
 }
 
-// RequestLimit returns the bound on the whole time of a request on a target.
-func (p Pool) RequestLimit() time.Duration { return msOr(p.RequestLimitMs, DefaultRequestLimit) }
+// RequestLimit returns the timeout of a whole request on a target.
+func (p Pool) RequestLimit() time.Duration { return msOrDefault(p.RequestLimitMs, DefaultRequestLimit) }
 
-// SilenceLimit returns the bound on the gap between two reads from a target.
-func (p Pool) SilenceLimit() time.Duration { return msOr(p.SilenceLimitMs, DefaultSilenceLimit) }
+// SilenceLimit returns the timeout of one read from a target.
+func (p Pool) SilenceLimit() time.Duration { return msOrDefault(p.SilenceLimitMs, DefaultSilenceLimit) }
 
-// EvidenceLife returns how long evidence of warmth lasts.
-func (p Pool) EvidenceLife() time.Duration { return msOr(p.EvidenceLifeMs, DefaultEvidenceLife) }
+// EvidenceLife returns how long a target counts as warm after the last evidence of it.
+func (p Pool) EvidenceLife() time.Duration { return msOrDefault(p.EvidenceLifeMs, DefaultEvidenceLife) }
 
-// ReportLag returns the largest lag of a load report.
-func (p Pool) ReportLag() time.Duration { return msOr(p.ReportLagMs, DefaultReportLag) }
+// ReportLag returns the largest age of the content of a load report.
+func (p Pool) ReportLag() time.Duration { return msOrDefault(p.ReportLagMs, DefaultReportLag) }
 
-func msOr(ms int, fallback time.Duration) time.Duration {
+func msOrDefault(ms int, fallback time.Duration) time.Duration {
 	if ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
 	return fallback
 }
 
-// FindPool returns the pool with the name.
+// FindPool returns the pool with the name; false if there is none.
 func (c *Config) FindPool(name string) (Pool, bool) {
 	for _, p := range c.Pools {
 		if p.Name == name {
@@ -71,7 +72,7 @@
 	return Pool{}, false
 }
 
-// FindTarget returns the target with the name.
+// FindTarget returns the target with the name; false if there is none.
 func (c *Config) FindTarget(name string) (Target, bool) {
 	for _, t := range c.Targets {
 		if t.Name == name {
@@ -81,7 +82,7 @@
 	return Target{}, false
 }
 
-// FindWorkspace returns the workspace with the name.
+// FindWorkspace returns the workspace with the name; false if there is none.
 func (c *Config) FindWorkspace(name string) (Workspace, bool) {
 	for _, w := range c.Workspaces {
 		if w.Name == name {
--- a/fleetconfig/text.go
+++ b/fleetconfig/text.go
@@ -10,15 +10,16 @@
 	"github.com/tailscale/hujson"
 )
 
-// Canonical returns the document as indented JSON with its lists sorted by
-// name. Two documents with the same meaning have the same canonical form.
+// Canonical returns the document as indented JSON with its lists sorted by name.
+// Documents that differ only in the order of their lists, in comments or in
+// formatting have the same canonical form.
 func Canonical(cfg *Config) ([]byte, error) {
 	c := *cfg
-	c.DataCentres = sorted(c.DataCentres, func(d DataCentre) string { return d.Name })
-	c.Workspaces = sorted(c.Workspaces, func(w Workspace) string { return w.Name })
-	c.Pools = sorted(c.Pools, func(p Pool) string { return p.Name })
-	c.Targets = sorted(c.Targets, func(t Target) string { return t.Name })
-	c.Moves = sorted(c.Moves, func(m Move) string { return m.Name })
+	c.DataCentres = sortedByName(c.DataCentres, func(d DataCentre) string { return d.Name })
+	c.Workspaces = sortedByName(c.Workspaces, func(w Workspace) string { return w.Name })
+	c.Pools = sortedByName(c.Pools, func(p Pool) string { return p.Name })
+	c.Targets = sortedByName(c.Targets, func(t Target) string { return t.Name })
+	c.Moves = sortedByName(c.Moves, func(m Move) string { return m.Name })
 	out, err := json.MarshalIndent(c, "", "  ")
 	if err != nil {
 		return nil, errors.Wrap(err, "encode configuration")
@@ -26,14 +27,14 @@
 	return append(out, '\n'), nil
 }
 
-func sorted[T any](list []T, name func(T) string) []T {
+func sortedByName[T any](list []T, name func(T) string) []T {
 	out := append([]T(nil), list...)
 	sort.SliceStable(out, func(i, j int) bool { return name(out[i]) < name(out[j]) })
 	return out
 }
 
-// Parse reads a document from JSON, with comments allowed, and validates it.
-// Unknown fields are errors.
+// Parse decodes a document from JSON with comments and validates it. Unknown fields
+// are errors. If the document is invalid the error is of type Problems.
 func Parse(raw []byte) (*Config, error) {
 	std, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
@@ -54,7 +55,8 @@
 	return cfg, nil
 }
 
-// Change is one difference between two documents.
+// Change is one difference between two documents. From and To are the old and the
+// new value of the item in JSON.
 type Change struct {
 	Op   string `json:"op"`   // add, remove or change
 	Item string `json:"item"` // e.g. target matcher-1
@@ -62,7 +64,7 @@
 	To   string `json:"to,omitempty"`
 }
 
-// String returns one line as shown by nutmegctl apply -dry-run.
+// String returns the change as one line in the format of nutmegctl apply -dry-run.
 func (c Change) String() string {
 	switch c.Op {
 	case "add":
@@ -74,35 +76,35 @@
 	}
 }
 
-// Diff lists the changes that lead from one document to another, sorted by
-// item. Either may be nil.
+// Diff returns the changes from one document to another, sorted by item. A nil
+// document is empty.
 func Diff(from, to *Config) []Change {
-	a, b := items(from), items(to)
+	a, b := flatten(from), flatten(to)
 	var out []Change
 	for name, old := range a {
-		if now, ok := b[name]; !ok {
+		if current, ok := b[name]; !ok {
 			out = append(out, Change{Op: "remove", Item: name, From: old})
-		} else if now != old {
-			out = append(out, Change{Op: "change", Item: name, From: old, To: now})
+		} else if current != old {
+			out = append(out, Change{Op: "change", Item: name, From: old, To: current})
 		}
 	}
-	for name, now := range b {
+	for name, current := range b {
 		if _, ok := a[name]; !ok {
-			out = append(out, Change{Op: "add", Item: name, To: now})
+			out = append(out, Change{Op: "add", Item: name, To: current})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Item < out[j].Item })
 	return out
 }
 
-// items flattens a document into named values.
-func items(cfg *Config) map[string]string {
+// flatten returns the JSON of each item of a document by kind and name.
+func flatten(cfg *Config) map[string]string {
 	out := map[string]string{}
 	if cfg == nil {
 		return out
 	}
 	put := func(kind, name string, v any) {
-		raw, _ := json.Marshal(v) // the types of a document always encode
+		raw, _ := json.Marshal(v) // cannot fail for the types of a document
 		out[kind+" "+name] = string(raw)
 	}
 	put("fleet", "name", cfg.Fleet)
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -18,7 +18,7 @@
 	File  string
 	Line  int // 1-based; 0 = the whole file
 	Field string
-	Text  string
+	Text  string // what is wrong with the value
 }
 
 // Error implements error.
@@ -26,10 +26,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Text)
 }
 
-// Faults are all errors of one file.
+// Faults is the list of all errors in one file.
 type Faults []Fault
 
-// Error implements error with one line for each fault.
+// Error implements error. It returns one line for each fault.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -38,8 +38,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a settings file. The error is of type Faults unless the
-// file cannot be read.
+// Load reads, parses and validates a settings file. The error is of type Faults
+// unless the file cannot be read.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -48,7 +48,8 @@
 	return Parse(path, raw)
 }
 
-// Parse checks settings held in memory.
+// Parse parses and validates settings. The name of the file is used only in errors,
+// which are of type Faults.
 func Parse(file string, raw []byte) (*Settings, error) {
 	std, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
@@ -56,7 +57,7 @@
 	}
 	p := &parser{file: file, raw: std}
 	s := &Settings{}
-	p.object(json.RawMessage(std), 0, "", reflect.ValueOf(s).Elem())
+	p.decodeObject(json.RawMessage(std), 0, "", reflect.ValueOf(s).Elem())
 	if len(p.faults) == 0 {
 		p.check(s)
 	}
@@ -74,24 +75,26 @@
 	return line
 }
 
-// parser decodes field by field, because encoding/json stops at the first
-// error and reports no line.
+// parser decodes the file field by field, because encoding/json stops at the first
+// error and does not report its line.
 type parser struct {
 	file   string
 	raw    []byte
 	faults Faults
 }
 
-func (p *parser) fault(offset int, field, format string, args ...any) {
+// addFault records an error of a field at an offset of the file.
+func (p *parser) addFault(offset int, field, format string, args ...any) {
 	line := 1 + bytes.Count(p.raw[:min(offset, len(p.raw))], []byte("\n"))
 	p.faults = append(p.faults, Fault{p.file, line, field, fmt.Sprintf(format, args...)})
 }
 
-// object decodes the JSON object that starts at base into the struct v.
-func (p *parser) object(raw json.RawMessage, base int, prefix string, v reflect.Value) {
+// decodeObject decodes raw, a JSON object at offset base of the file, into the struct v.
+// prefix is the path of the object's fields, such as "limits.".
+func (p *parser) decodeObject(raw json.RawMessage, base int, prefix string, v reflect.Value) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
-		p.fault(base, orRoot(prefix), "want an object")
+		p.addFault(base, fieldOrFile(prefix), "want an object")
 		return
 	}
 	seen := map[string]bool{}
@@ -99,56 +102,56 @@
 		t, err := dec.Token()
 		key, ok := t.(string)
 		if err != nil || !ok {
-			p.fault(base+int(dec.InputOffset()), orRoot(prefix), "want a field name")
+			p.addFault(base+int(dec.InputOffset()), fieldOrFile(prefix), "want a field name")
 			return
 		}
 		at := base + int(dec.InputOffset())
 		var val json.RawMessage
 		if err := dec.Decode(&val); err != nil {
-			p.fault(at, prefix+key, "%v", err)
+			p.addFault(at, prefix+key, "%v", err)
 			return
 		}
 		start := base + int(dec.InputOffset()) - len(val)
 		if seen[key] {
-			p.fault(at, prefix+key, "given twice")
+			p.addFault(at, prefix+key, "given twice")
 		}
 		seen[key] = true
 		f, ok := fieldByTag(v, key)
 		if !ok {
-			p.fault(at, prefix+key, "unknown field")
+			p.addFault(at, prefix+key, "unknown field")
 			continue
 		}
-		p.value(val, start, prefix+key, f)
+		p.decodeValue(val, start, prefix+key, f)
 	}
 }
 
-func (p *parser) value(raw json.RawMessage, base int, name string, v reflect.Value) {
+func (p *parser) decodeValue(raw json.RawMessage, base int, name string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
-		p.object(raw, base, name+".", v)
+		p.decodeObject(raw, base, name+".", v)
 	case reflect.Slice:
-		p.array(raw, base, name, v)
+		p.decodeArray(raw, base, name, v)
 	default:
 		if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil {
-			p.fault(base, name, "want %s, got %s", v.Kind(), raw)
+			p.addFault(base, name, "want %s, got %s", v.Kind(), raw)
 		}
 	}
 }
 
-func (p *parser) array(raw json.RawMessage, base int, name string, v reflect.Value) {
+func (p *parser) decodeArray(raw json.RawMessage, base int, name string, v reflect.Value) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if t, err := dec.Token(); err != nil || t != json.Delim('[') {
-		p.fault(base, name, "want an array")
+		p.addFault(base, name, "want an array")
 		return
 	}
 	for i := 0; dec.More(); i++ {
 		var val json.RawMessage
 		if err := dec.Decode(&val); err != nil {
-			p.fault(base, name, "%v", err)
+			p.addFault(base, name, "%v", err)
 			return
 		}
 		elem := reflect.New(v.Type().Elem()).Elem()
-		p.value(val, base+int(dec.InputOffset())-len(val), fmt.Sprintf("%s[%d]", name, i), elem)
+		p.decodeValue(val, base+int(dec.InputOffset())-len(val), fmt.Sprintf("%s[%d]", name, i), elem)
 		v.Set(reflect.Append(v, elem))
 	}
 }
@@ -163,17 +166,18 @@
 	return reflect.Value{}, false
 }
 
-func orRoot(prefix string) string {
+// fieldOrFile returns the path of an object in errors, or "(file)" for the whole file.
+func fieldOrFile(prefix string) string {
 	if prefix == "" {
 		return "(file)"
 	}
 	return strings.TrimSuffix(prefix, ".")
 }
 
-// check tests the meaning of well-formed settings.
+// check validates the values of well-formed settings.
 func (p *parser) check(s *Settings) {
-	p.require("instance", s.Instance)
-	p.require("dataCentre", s.DataCentre)
+	p.checkSet("instance", s.Instance)
+	p.checkSet("dataCentre", s.DataCentre)
 	p.checkLimits(s.Limits)
 	switch s.Profile {
 	case "", ProfilePools:
@@ -181,46 +185,46 @@
 	case ProfileRoutes:
 		p.checkRoutes(s)
 	default:
-		p.fault(p.find("profile"), "profile", "want %q or %q, got %q", ProfilePools, ProfileRoutes, s.Profile)
+		p.addFault(p.fieldOffset("profile"), "profile", "want %q or %q, got %q", ProfilePools, ProfileRoutes, s.Profile)
 	}
 }
 
 // checkPools tests the settings of the profile "pools".
 func (p *parser) checkPools(s *Settings) {
-	p.address("listen", s.Listen)
-	p.address("admin", s.Admin)
-	p.address("mesh", s.Mesh)
+	p.checkAddress("listen", s.Listen)
+	p.checkAddress("admin", s.Admin)
+	p.checkAddress("mesh", s.Mesh)
 	names := map[string]bool{}
 	for i, peer := range s.Peers {
 		field := fmt.Sprintf("peers[%d]", i)
-		p.require(field+".instance", peer.Instance)
-		p.require(field+".dataCentre", peer.DataCentre)
-		p.address(field+".mesh", peer.Mesh)
+		p.checkSet(field+".instance", peer.Instance)
+		p.checkSet(field+".dataCentre", peer.DataCentre)
+		p.checkAddress(field+".mesh", peer.Mesh)
 		if names[peer.Instance] {
-			p.fault(p.find("peers"), field+".instance", "%q given twice", peer.Instance)
+			p.addFault(p.fieldOffset("peers"), field+".instance", "%q given twice", peer.Instance)
 		}
 		names[peer.Instance] = true
 	}
-	p.checkSelf(s)
+	p.checkOwnEntry(s)
 }
 
-func (p *parser) checkSelf(s *Settings) {
+func (p *parser) checkOwnEntry(s *Settings) {
 	for _, peer := range s.Peers {
 		if peer.Instance != s.Instance {
 			continue
 		}
 		if peer.Disk != (s.DataDir != "") {
-			p.fault(p.find("dataDir"), "dataDir", "must be set exactly if peers marks this instance with disk")
+			p.addFault(p.fieldOffset("dataDir"), "dataDir", "must be set exactly if peers marks this instance with disk")
 		}
 		if peer.DataCentre != s.DataCentre {
-			p.fault(p.find("dataCentre"), "dataCentre", "differs from this instance's entry in peers")
+			p.addFault(p.fieldOffset("dataCentre"), "dataCentre", "differs from this instance's entry in peers")
 		}
 		if len(s.Replicas()) == 0 {
-			p.fault(p.find("peers"), "peers", "no instance has a disk")
+			p.addFault(p.fieldOffset("peers"), "peers", "no instance has a disk")
 		}
 		return
 	}
-	p.fault(p.find("peers"), "peers", "must list this instance %q", s.Instance)
+	p.addFault(p.fieldOffset("peers"), "peers", "must list this instance %q", s.Instance)
 }
 
 func (p *parser) checkLimits(l Limits) {
@@ -228,25 +232,26 @@
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
 		if v.Field(i).Int() < 0 {
-			p.fault(p.find(name), "limits."+name, "must not be negative")
+			p.addFault(p.fieldOffset(name), "limits."+name, "must not be negative")
 		}
 	}
 }
 
-func (p *parser) require(field, value string) {
+func (p *parser) checkSet(field, value string) {
 	if value == "" {
-		p.fault(p.find(field), field, "must be set")
+		p.addFault(p.fieldOffset(field), field, "must be set")
 	}
 }
 
-func (p *parser) address(field, value string) {
+func (p *parser) checkAddress(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		p.fault(p.find(field), field, "want IP:port, got %q", value)
+		p.addFault(p.fieldOffset(field), field, "want IP:port, got %q", value)
 	}
 }
 
-// find returns the offset of a top-level field's name, or 0.
-func (p *parser) find(field string) int {
+// fieldOffset returns the offset of the first occurrence of a field's name in the file,
+// or 0.
+func (p *parser) fieldOffset(field string) int {
 	name, _, _ := strings.Cut(field, "[")
 	return max(0, bytes.Index(p.raw, []byte(`"`+name+`"`)))
 }
--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -8,121 +8,126 @@
 
 // Routes holds the settings of the profile "routes".
 type Routes struct {
-	// Ready is the IP:port at which the balancer asks for readiness; entry
-	// instances only.
+	// Ready is the IP:port for the load balancer's readiness checks; entry instances
+	// only.
 	Ready string `json:"ready,omitempty"`
 	// Operators is the IP:port for operators; control instances only.
 	Operators string `json:"operators,omitempty"`
-	// Seeds are the operators' addresses of some control instances, each IP:port.
+	// Seeds are the addresses for operators of some control instances, each IP:port.
+	// An instance starts discovery there.
 	Seeds []string `json:"seeds"`
 	// Bootstrap reports that the whole fleet starts for the first time.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 	// DataCentres names all data centres that may be taken out of service.
 	DataCentres []string `json:"dataCentres"`
-	// Directory is where the list of targets is read.
+	// Directory is the source of the list of targets.
 	Directory Directory `json:"directory"`
-	// Bounds are promised to callers and operators.
+	// Bounds are the service levels promised to callers and operators.
 	Bounds Bounds `json:"bounds"`
 	// MemoryMB is the memory that the process may use, in MiB.
 	MemoryMB float64 `json:"memoryMB"`
-	// MaxFiles is the number of files and sockets that the process may open.
+	// MaxFiles is the number of files and sockets that the process may have open.
 	MaxFiles int `json:"maxFiles"`
-	// LossesTolerated is the number of control instances that may be lost at the
-	// same time; the log keeps twice as many replicas and one more.
+	// LossesTolerated is the number n of control instances that may fail at the same
+	// time. The control log keeps 2n+1 voting replicas.
 	LossesTolerated int `json:"lossesTolerated"`
 }
 
-// reservedFiles are not available for sockets: the platform keeps them for files
-// outside the data folder.
+// reservedFiles is the number of file descriptors that the platform reserves for
+// files outside the data directory. They are not available for sockets.
 const reservedFiles = 200
 
-// MaxSockets returns the number of sockets that the process may open.
+// MaxSockets returns the number of sockets that the process may have open.
 func (r *Routes) MaxSockets() int { return r.MaxFiles - reservedFiles }
 
-// Directory is the platform's list of targets.
+// Directory is the platform's service that lists the targets.
 type Directory struct {
-	// Address is the IP:port of the list.
+	// Address is the IP:port of the service.
 	Address string `json:"address"`
-	// CallsPerSecond is what all instances together may ask.
+	// CallsPerSecond bounds the calls of all instances together.
 	CallsPerSecond float64 `json:"callsPerSecond"`
-	// MaxLagMs is the largest age of an answer's content.
+	// MaxLagMs is the largest age of the content of a response.
 	MaxLagMs float64 `json:"maxLagMs"`
 }
 
 // Bounds are times and ratios promised to callers and operators.
 type Bounds struct {
-	// ApplyMs: an accepted configuration is in force everywhere after this time.
+	// ApplyMs is the time within which an accepted configuration is in force on all
+	// instances.
 	ApplyMs float64 `json:"applyMs"`
-	// AcknowledgeMs: an operator's order is answered within this time.
+	// AcknowledgeMs is the time within which an operator receives the response to an
+	// order.
 	AcknowledgeMs float64 `json:"acknowledgeMs"`
-	// LeaveMs: a target that leaves gets nothing new after this time.
+	// LeaveMs is the time after which a leaving target receives no new requests.
 	LeaveMs float64 `json:"leaveMs"`
-	// OutMs: the targets of a data centre taken out get nothing new after this time.
+	// OutMs is the time after which the targets of a data centre taken out of service
+	// receive no new requests.
 	OutMs float64 `json:"outMs"`
-	// StopMs: a stopped process is killed after this time.
+	// StopMs is the time after the stop signal at which the process is killed.
 	StopMs float64 `json:"stopMs"`
-	// CatchUpMs: a control instance must have caught up this long after its start.
+	// CatchUpMs is the time after its start within which a control instance must have
+	// caught up with the log.
 	CatchUpMs float64 `json:"catchUpMs"`
-	// ForwardMs: an event of a stream reaches the caller within this time.
+	// ForwardMs is the time within which an event of a stream reaches the caller.
 	ForwardMs float64 `json:"forwardMs"`
-	// RetryRatio, RetrySlack and RetryWindowMs bound the repeats at one service
-	// over all instances: ratio times the requests, plus the slack, in a window.
+	// RetryRatio, RetrySlack and RetryWindowMs bound the retries at one service over
+	// all instances: within a window at most ratio times the requests, plus the slack.
 	RetryRatio    float64 `json:"retryRatio"`
 	RetrySlack    float64 `json:"retrySlack"`
 	RetryWindowMs float64 `json:"retryWindowMs"`
-	// ColdOverage and ColdSlack bound the starts a second on a cold target:
-	// overage times its rate, plus the slack.
+	// ColdOverage and ColdSlack bound the requests started per second on a cold
+	// target: at most overage times the target's cold rate, plus the slack.
 	ColdOverage float64 `json:"coldOverage"`
 	ColdSlack   float64 `json:"coldSlack"`
-	// ShareWindowMs is the window over which workspaces share the tokens.
+	// ShareWindowMs is the window over which tokens are shared among workspaces.
 	ShareWindowMs float64 `json:"shareWindowMs"`
 }
 
-// Ms returns a number of milliseconds as a duration.
+// Ms converts milliseconds to a duration.
 func Ms(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// checkRoutes tests the settings of the profile "routes".
+// checkRoutes validates the settings of the profile "routes".
 func (p *parser) checkRoutes(s *Settings) {
 	r := s.Routes
 	if (s.Listen == "") == (r.Operators == "") {
-		p.fault(p.find("routes"), "routes.operators", "exactly one of listen and routes.operators must be set")
+		p.addFault(p.fieldOffset("routes"), "routes.operators", "exactly one of listen and routes.operators must be set")
 	}
 	if (s.DataDir == "") != (r.Operators == "") {
-		p.fault(p.find("dataDir"), "dataDir", "must be set exactly on control instances")
+		p.addFault(p.fieldOffset("dataDir"), "dataDir", "must be set exactly on control instances")
 	}
 	for field, address := range map[string]string{"listen": s.Listen, "routes.ready": r.Ready, "routes.operators": r.Operators} {
 		if address != "" {
-			p.address(field, address)
+			p.checkAddress(field, address)
 		}
 	}
 	if s.Listen != "" && r.Ready == "" {
-		p.fault(p.find("routes"), "routes.ready", "must be set with listen")
+		p.addFault(p.fieldOffset("routes"), "routes.ready", "must be set with listen")
 	}
-	p.address("mesh", s.Mesh)
+	p.checkAddress("mesh", s.Mesh)
 	if s.MeshListen != "" {
-		p.address("meshListen", s.MeshListen)
+		p.checkAddress("meshListen", s.MeshListen)
 	}
-	p.address("admin", s.Admin)
-	p.address("routes.directory.address", r.Directory.Address)
+	p.checkAddress("admin", s.Admin)
+	p.checkAddress("routes.directory.address", r.Directory.Address)
 	if len(r.Seeds) == 0 {
-		p.fault(p.find("seeds"), "routes.seeds", "want at least one address")
+		p.addFault(p.fieldOffset("seeds"), "routes.seeds", "want at least one address")
 	}
 	for i, seed := range r.Seeds {
-		p.address(fmt.Sprintf("routes.seeds[%d]", i), seed)
+		p.checkAddress(fmt.Sprintf("routes.seeds[%d]", i), seed)
 	}
 	if r.MemoryMB <= 0 {
-		p.fault(p.find("memoryMB"), "routes.memoryMB", "must be above 0")
+		p.addFault(p.fieldOffset("memoryMB"), "routes.memoryMB", "must be above 0")
 	}
 	if r.MaxFiles <= reservedFiles {
-		p.fault(p.find("maxFiles"), "routes.maxFiles", "must be above %d", reservedFiles)
+		p.addFault(p.fieldOffset("maxFiles"), "routes.maxFiles", "must be above %d", reservedFiles)
 	}
 	if r.LossesTolerated < 0 {
-		p.fault(p.find("lossesTolerated"), "routes.lossesTolerated", "must not be negative")
+		p.addFault(p.fieldOffset("lossesTolerated"), "routes.lossesTolerated", "must not be negative")
 	}
 }
 
-// MeshAddress returns the mesh address of an instance whose operators' address
-// is known: all instances of the fleet use the same port.
+// MeshAddress returns the mesh address, IP:port, of the instance whose address for
+// operators is seed. All instances of a fleet use the same mesh port.
 func (s *Settings) MeshAddress(seed string) (string, error) {
 	other, err := netip.ParseAddrPort(seed)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings of one instance: JSON with comments.
-// Unknown fields are errors, and all errors are reported with file, line and
-// field, not only the first.
+// Package settings parses and validates the settings file of one instance, which is
+// JSON with comments. Unknown fields are errors. All errors are reported at once,
+// each with file, line and field.
 package settings
 
 import (
@@ -13,20 +13,19 @@
 	Profile string `json:"profile,omitempty"`
 	// Instance is the unique name of this instance.
 	Instance string `json:"instance"`
-	// DataCentre is where the instance runs.
+	// DataCentre is the data centre in which the instance runs.
 	DataCentre string `json:"dataCentre"`
-	// Listen is the IP:port for callers.
+	// Listen is the IP:port for callers; empty on control instances.
 	Listen string `json:"listen"`
 	// Admin is the IP:port for operators.
 	Admin string `json:"admin"`
 	// Mesh is the IP:port for other instances.
 	Mesh string `json:"mesh"`
-	// MeshListen is the IP:port at which connections of other instances arrive, if
-	// it differs from Mesh.
+	// MeshListen is the IP:port on which to listen for other instances; empty = Mesh.
 	MeshListen string `json:"meshListen,omitempty"`
 	// Peers lists all instances of the fleet, this one included.
 	Peers []Peer `json:"peers,omitempty"`
-	// DataDir is the folder for durable state; empty on instances without a disk.
+	// DataDir is the directory for durable state; empty on instances without a disk.
 	DataDir string `json:"dataDir,omitempty"`
 	// PlatformList is the URL of the platform's instance list; empty = none.
 	PlatformList string `json:"platformList,omitempty"`
@@ -34,15 +33,16 @@
 	WeightStore string `json:"weightStore,omitempty"`
 	// Limits bound the use of memory and time.
 	Limits Limits `json:"limits"`
-	// Routes holds what only the profile "routes" uses.
+	// Routes holds the settings that apply only to the profile "routes".
 	Routes Routes `json:"routes,omitzero"`
 }
 
 // Profiles.
 const (
-	// ProfilePools serves callers by pool; peers and targets are listed by hand.
+	// ProfilePools routes requests by pool. Peers are listed in the settings, targets
+	// in the configuration document.
 	ProfilePools = "pools"
-	// ProfileRoutes serves callers by host and path; instances and targets are
+	// ProfileRoutes routes requests by host and path. Instances and targets are
 	// discovered.
 	ProfileRoutes = "routes"
 )
@@ -50,9 +50,9 @@
 // Routed reports whether the profile is "routes".
 func (s *Settings) Routed() bool { return s.Profile == ProfileRoutes }
 
-// MeshName returns the name of this instance among the others. Control instances
-// of the profile "routes" are named by their mesh address, so that the replicated
-// membership tells where they are.
+// MeshName returns the name of this instance in the mesh. Control instances of the
+// profile "routes" are named by their mesh address, so that the replicated
+// membership contains their addresses.
 func (s *Settings) MeshName() string {
 	if s.Routed() && s.DataDir != "" {
 		return s.Mesh
@@ -60,7 +60,7 @@
 	return s.Instance
 }
 
-// MeshBind returns the IP:port on which to listen for other instances.
+// MeshBind returns the IP:port on which this instance listens for others.
 func (s *Settings) MeshBind() string {
 	if s.MeshListen != "" {
 		return s.MeshListen
@@ -68,7 +68,7 @@
 	return s.Mesh
 }
 
-// ServesCallers reports whether this instance takes requests of callers.
+// ServesCallers reports whether this instance accepts requests of callers.
 func (s *Settings) ServesCallers() bool { return s.Listen != "" }
 
 // Peer is one instance of the fleet as seen from this one.
@@ -85,13 +85,14 @@
 type Limits struct {
 	// MaxBodyBytes bounds a request body; 0 = 16 MiB.
 	MaxBodyBytes int `json:"maxBodyBytes,omitempty"`
-	// MaxWaiting bounds the waiting requests of all workspaces; 0 = 8192.
+	// MaxWaiting bounds the queued requests of all workspaces; 0 = 8192.
 	MaxWaiting int `json:"maxWaiting,omitempty"`
-	// StopGraceMs is how long the listener still accepts after SIGTERM; 0 = 3000.
+	// StopGraceMs is how long the listener accepts connections after SIGTERM;
+	// 0 = 3000.
 	StopGraceMs int `json:"stopGraceMs,omitempty"`
-	// StopLimitMs bounds a planned stop; 0 = 120000.
+	// StopLimitMs is the timeout of a planned stop; 0 = 120000.
 	StopLimitMs int `json:"stopLimitMs,omitempty"`
-	// Events is the size of the event ring; 0 = 4096.
+	// Events is the capacity of the event buffer, in events; 0 = 4096.
 	Events int `json:"events,omitempty"`
 }
 
@@ -104,18 +105,25 @@
 )
 
 // MaxBodyBytes returns the bound on a request body in bytes.
-func (s *Settings) MaxBodyBytes() int { return orInt(s.Limits.MaxBodyBytes, DefaultMaxBodyBytes) }
+func (s *Settings) MaxBodyBytes() int {
+	return intOrDefault(s.Limits.MaxBodyBytes, DefaultMaxBodyBytes)
+}
 
-// MaxWaiting returns the bound on waiting requests.
-func (s *Settings) MaxWaiting() int { return orInt(s.Limits.MaxWaiting, DefaultMaxWaiting) }
+// MaxWaiting returns the bound on the queued requests of all workspaces.
+func (s *Settings) MaxWaiting() int { return intOrDefault(s.Limits.MaxWaiting, DefaultMaxWaiting) }
 
-// StopGrace returns how long the listener accepts after the stop signal.
-func (s *Settings) StopGrace() time.Duration { return orMs(s.Limits.StopGraceMs, DefaultStopGrace) }
+// StopGrace returns how long the listener accepts connections after SIGTERM.
+func (s *Settings) StopGrace() time.Duration {
+	return msOrDefault(s.Limits.StopGraceMs, DefaultStopGrace)
+}
 
-// StopLimit returns the bound on a planned stop.
-func (s *Settings) StopLimit() time.Duration { return orMs(s.Limits.StopLimitMs, DefaultStopLimit) }
+// StopLimit returns the timeout of a planned stop.
+func (s *Settings) StopLimit() time.Duration {
+	return msOrDefault(s.Limits.StopLimitMs, DefaultStopLimit)
+}
 
-// Replicas returns the names of the instances with a disk.
+// Replicas returns the names of the instances with a control replica, which are those
+// with a disk.
 func (s *Settings) Replicas() []string {
 	var out []string
 	for _, p := range s.Peers {
@@ -126,14 +134,14 @@
 	return out
 }
 
-func orInt(v, fallback int) int {
+func intOrDefault(v, fallback int) int {
 	if v > 0 {
 		return v
 	}
 	return fallback
 }
 
-func orMs(ms int, fallback time.Duration) time.Duration {
+func msOrDefault(ms int, fallback time.Duration) time.Duration {
 	if ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `{
+const validSettings = `{
   // one instance
   "instance": "a1",
   "dataCentre": "amman-a",
@@ -21,18 +21,18 @@
   "limits": {},
 }`
 
-// Guards against a valid commented file being refused.
-func TestParseGood(t *testing.T) {
+// Guards against a parser that rejects a valid file with comments.
+func TestParseValid(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("good.json", []byte(good))
+	s, err := Parse("good.json", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(s.Instance, "a1")
 	is.Equal(s.Peers[0].Disk, true)
 	is.Equal(s.MaxBodyBytes(), DefaultMaxBodyBytes)
 }
 
-// Guards against faults that lack file, line or field, and against stopping at
-// the first one.
+// Guards against faults without file, line or field, and against a parser that stops
+// at the first fault.
 func TestParseFaults(t *testing.T) {
 	cases := []struct {
 		name, old, new string
@@ -44,15 +44,15 @@
 		{"bad address", `"listen": "127.0.0.1:8080"`, `"listen": "localhost"`, []string{"f.json:5: listen: want IP:port"}},
 		{"two faults", `"instance": "a1",`, `"instance": "b", "x": 1, "y": 2,`, []string{"x: unknown field", "y: unknown field"}},
 		{"not listed", `"instance": "a1",`, `"instance": "b",`, []string{`must list this instance "b"`}},
-		{"doubled", `"instance": "a1",`, `"instance": "a1", "instance": "a1",`, []string{"instance: given twice"}},
+		{"duplicate field", `"instance": "a1",`, `"instance": "a1", "instance": "a1",`, []string{"instance: given twice"}},
 		{"disk mismatch", `"dataDir": "run/a1",`, ``, []string{"dataDir: must be set"}},
 		{"syntax", `"peers": [`, `"peers": `, []string{"f.json:"}},
-		{"not an object", good, `[]`, []string{"want an object"}},
+		{"not an object", validSettings, `[]`, []string{"want an object"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := Parse("f.json", []byte(strings.Replace(good, c.old, c.new, 1)))
+			_, err := Parse("f.json", []byte(strings.Replace(validSettings, c.old, c.new, 1)))
 			is.True(err != nil) // must be refused
 			for _, w := range c.want {
 				is.True(strings.Contains(err.Error(), w)) // names file, line and field
@@ -61,9 +61,9 @@
 	}
 }
 
-// Guards against a panic on arbitrary bytes.
+// Guards against a panic on arbitrary input.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"peers":[{}],"limits":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := Parse("f.json", raw)
@@ -73,7 +73,7 @@
 	})
 }
 
-// Guards against an example that the daemon refuses.
+// Guards against an example file that the daemon rejects.
 func TestExampleSettings(t *testing.T) {
 	is := is.New(t)
 	s, err := Load("../../examples/settings.json")
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,8 +1,9 @@
-// Package operator lets operators write the configuration of a fleet as a Go
-// program that prints it. They review the printed document and submit it with
-// nutmegctl apply.
+// Package operator builds the configuration document of a fleet from a Go program
+// that operators write. The program prints the document; operators review it and
+// submit it with nutmegctl apply.
 //
-// A Fleet collects errors; Print reports all of them and prints nothing then.
+// The document is checked only at the end, by Config or Print, which report all errors
+// at once.
 //
 //	f := operator.New("amman")
 //	a := f.DataCentre("amman-a")
@@ -31,25 +32,25 @@
 // DataCentre refers to a data centre of a Fleet.
 type DataCentre struct{ name string }
 
-// Pool refers to a pool of a Fleet. Its fields may be set before Print.
+// Pool refers to a pool of a Fleet. Its settings may be changed until Print.
 type Pool struct {
 	fleet *Fleet
 	index int
 }
 
-// Capacity is what a target bears, in concurrent requests.
+// Capacity is the number of concurrent requests of a target when warm and when cold.
 type Capacity struct {
 	Warm int
 	Cold int
 }
 
-// New returns an empty fleet.
+// New returns an empty fleet with a name.
 func New(name string) *Fleet {
 	return &Fleet{config: fleetconfig.Config{Fleet: name}}
 }
 
-// HashKey returns the hash of a bearer key as stored in the configuration, so
-// that the document holds no secret.
+// HashKey returns the SHA-256 hash of a bearer key in lower-case hexadecimal. The
+// configuration stores only the hash, so that the document contains no secret.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -67,58 +68,61 @@
 	return DataCentre{name}
 }
 
-// Workspace adds a workspace with its weight and the hashes of its keys.
+// Workspace adds a workspace with its weight in fair sharing (above 0) and the
+// hashes of its bearer keys, as returned by HashKey.
 func (f *Fleet) Workspace(name string, weight float64, keyHashes ...string) {
 	f.config.Workspaces = append(f.config.Workspaces,
 		fleetconfig.Workspace{Name: name, Weight: weight, KeyHashes: keyHashes})
 }
 
-// Engine adds a pool of model engines.
+// Engine adds a pool of model engines that serve a version of a model.
 func (f *Fleet) Engine(name, model, version string) *Pool {
-	return f.pool(fleetconfig.Pool{Name: name, Kind: fleetconfig.KindEngine, Model: model, Version: version})
+	return f.addPool(fleetconfig.Pool{Name: name, Kind: fleetconfig.KindEngine, Model: model, Version: version})
 }
 
 // Service adds a pool of plain services.
 func (f *Fleet) Service(name string) *Pool {
-	return f.pool(fleetconfig.Pool{Name: name, Kind: fleetconfig.KindService})
+	return f.addPool(fleetconfig.Pool{Name: name, Kind: fleetconfig.KindService})
 }
 
-func (f *Fleet) pool(p fleetconfig.Pool) *Pool {
+func (f *Fleet) addPool(p fleetconfig.Pool) *Pool {
 	f.config.Pools = append(f.config.Pools, p)
 	return &Pool{f, len(f.config.Pools) - 1}
 }
 
-// Set changes the pool's settings, for example its time limits.
+// Set calls change on the pool's settings, for example to set its time limits.
 func (p *Pool) Set(change func(*fleetconfig.Pool)) *Pool {
 	change(&p.fleet.config.Pools[p.index])
 	return p
 }
 
 // Target adds a target to the pool. The address is IP:port.
-func (p *Pool) Target(name string, at DataCentre, address string, c Capacity) *Pool {
+func (p *Pool) Target(name string, dc DataCentre, address string, c Capacity) *Pool {
 	return p.AddTarget(fleetconfig.Target{
-		Name: name, DataCentre: at.name, Address: address, WarmCapacity: c.Warm, ColdCapacity: c.Cold,
+		Name: name, DataCentre: dc.name, Address: address, WarmCapacity: c.Warm, ColdCapacity: c.Cold,
 	})
 }
 
-// AddTarget adds a target with all its fields; the pool is filled in.
+// AddTarget adds a target with all its fields. It sets the field Pool.
 func (p *Pool) AddTarget(t fleetconfig.Target) *Pool {
 	t.Pool = p.fleet.config.Pools[p.index].Name
 	p.fleet.config.Targets = append(p.fleet.config.Targets, t)
 	return p
 }
 
-// Move plans to take a data centre out of service and back. A zero back time
-// leaves it out until an operator brings it back.
-func (f *Fleet) Move(name string, at DataCentre, out, back time.Time) {
-	m := fleetconfig.Move{Name: name, DataCentre: at.name, OutAt: out.UTC().Format(time.RFC3339)}
+// Move schedules taking a data centre out of service at one time and bringing it
+// back at another. With a zero back time it stays out until an operator brings it
+// back.
+func (f *Fleet) Move(name string, dc DataCentre, out, back time.Time) {
+	m := fleetconfig.Move{Name: name, DataCentre: dc.name, OutAt: out.UTC().Format(time.RFC3339)}
 	if !back.IsZero() {
 		m.BackAt = back.UTC().Format(time.RFC3339)
 	}
 	f.config.Moves = append(f.config.Moves, m)
 }
 
-// Config returns the document after validation.
+// Config validates the document and returns it. The error is of type
+// fleetconfig.Problems.
 func (f *Fleet) Config() (*fleetconfig.Config, error) {
 	if err := fleetconfig.Validate(&f.config); err != nil {
 		return nil, err
@@ -126,8 +130,8 @@
 	return &f.config, nil
 }
 
-// Print writes the canonical document, or returns all problems and writes
-// nothing.
+// Print writes the canonical document. If the document is invalid it writes nothing
+// and returns all problems.
 func (f *Fleet) Print(w io.Writer) error {
 	cfg, err := f.Config()
 	if err != nil {
