--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -14,31 +14,34 @@
 	"nutmegrouter/internal/api"
 )
 
-// Client calls the operators' interface on the first of several instances that
-// answers. A call is repeated on the next address only after a failure of the
-// connection or an answer of 503; changes carry an id, so a repeat is safe.
+// Client is a client of the HTTP interface for operators. It calls one instance and
+// retries on the next address only after a connection failure or a response with
+// status 503. Changes carry an id, so retrying them is safe. It is not safe for
+// concurrent use.
 type Client struct {
-	// Addresses are IP:port of the instances, in the order of preference.
+	// Addresses are the IP:port of the instances, in the order of preference.
 	Addresses []string
 	// Timeout bounds one attempt; 0 = 2 s, and 4 s for a change, which waits for
-	// the control log. It must be short against the whole command: an instance
-	// that is frozen accepts a connection and never answers.
+	// the control log. It must be short compared with the time limit of the whole
+	// command, because a frozen instance accepts connections but never responds.
 	Timeout time.Duration
 
 	http fasthttp.Client
-	// first is the address tried first: the one that answered last.
-	first int
+	// preferred is the index in Addresses of the first one to try: the one that last
+	// responded.
+	preferred int
 }
 
+// Default timeouts of one attempt.
 const (
 	readTimeout   = 2 * time.Second
 	changeTimeout = 4 * time.Second
 )
 
-// StatusError is an error answer of an instance.
+// StatusError is an error response of an instance.
 type StatusError struct {
-	Code int
-	Peer string
+	Code int    // HTTP status
+	Peer string // IP:port of the instance
 	Body Error
 }
 
@@ -47,31 +50,31 @@
 	return fmt.Sprintf("%s: %s (peer %s, status %d)", e.Body.Step, e.Body.Message, e.Peer, e.Code)
 }
 
-// Status returns the status of the first instance that answers.
+// Status returns the status of the first instance that responds.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	return out, c.get(ctx, PathStatus, nil, &out)
 }
 
-// View returns the view in force on the first instance that answers.
+// View returns the view in force on the first instance that responds.
 func (c *Client) View(ctx context.Context) (api.View, error) {
 	var out api.View
 	return out, c.get(ctx, PathView, nil, &out)
 }
 
-// History returns the newest accepted changes, newest first.
+// History returns up to limit of the newest accepted changes, newest first.
 func (c *Client) History(ctx context.Context, limit int) ([]api.HistoryEntry, error) {
 	var out []api.HistoryEntry
 	return out, c.get(ctx, PathHistory, url.Values{"limit": {strconv.Itoa(limit)}}, &out)
 }
 
-// InForce tells whether a revision is in force everywhere.
+// InForce reports whether a revision is in force on all instances.
 func (c *Client) InForce(ctx context.Context, revision uint64) (InForce, error) {
 	var out InForce
 	return out, c.get(ctx, PathInForce, url.Values{"revision": {strconv.FormatUint(revision, 10)}}, &out)
 }
 
-// Events returns the merged time line.
+// Events returns the selected events of all instances in causal order.
 func (c *Client) Events(ctx context.Context, f Filter) (Timeline, error) {
 	var out Timeline
 	return out, c.get(ctx, PathEvents, f.Query(), &out)
@@ -88,7 +91,7 @@
 	return out, c.call(ctx, fasthttp.MethodPost, PathChanges, raw, &out)
 }
 
-// Query encodes the filter as query parameters.
+// Query encodes the filter as URL query parameters.
 func (f Filter) Query() url.Values {
 	q := url.Values{}
 	set := func(k, v string) {
@@ -113,26 +116,26 @@
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
-	last := errors.New("no address given")
+	lastErr := errors.New("no address given")
 	for range c.Addresses {
 		if ctx.Err() != nil {
-			return errors.WithMessage(ctx.Err(), last.Error())
+			return errors.WithMessage(ctx.Err(), lastErr.Error())
 		}
-		err := c.once(ctx, c.Addresses[c.first], method, path, body, out)
+		err := c.attempt(ctx, c.Addresses[c.preferred], method, path, body, out)
 		if err == nil {
 			return nil
 		}
-		last = err
-		c.first = (c.first + 1) % len(c.Addresses)
-		var se *StatusError
-		if errors.As(err, &se) && se.Code != fasthttp.StatusServiceUnavailable {
+		lastErr = err
+		c.preferred = (c.preferred + 1) % len(c.Addresses)
+		var statusErr *StatusError
+		if errors.As(err, &statusErr) && statusErr.Code != fasthttp.StatusServiceUnavailable {
 			return err
 		}
 	}
-	return last
+	return lastErr
 }
 
-func (c *Client) once(ctx context.Context, addr, method, path string, body []byte, out any) error {
+func (c *Client) attempt(ctx context.Context, addr, method, path string, body []byte, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -143,11 +146,11 @@
 		return errors.Wrapf(err, "%s %s (peer %s)", method, path, addr)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		se := &StatusError{Code: resp.StatusCode(), Peer: addr}
-		if json.Unmarshal(resp.Body(), &se.Body) != nil {
-			se.Body = Error{Step: method + " " + path, Message: "answer without a readable error"}
+		statusErr := &StatusError{Code: resp.StatusCode(), Peer: addr}
+		if json.Unmarshal(resp.Body(), &statusErr.Body) != nil {
+			statusErr.Body = Error{Step: method + " " + path, Message: "answer without a readable error"}
 		}
-		return se
+		return statusErr
 	}
 	return errors.Wrapf(json.Unmarshal(resp.Body(), out), "decode %s (peer %s)", path, addr)
 }
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -1,6 +1,6 @@
-// Package adminapi defines the HTTP interface for operators: paths, typed
-// answers and a client. Times are Unix milliseconds unless a field says
-// otherwise. An error answer has a body of type Error.
+// Package adminapi defines the HTTP API for operators (paths, request and response
+// types) and a client for it. Times are Unix milliseconds unless a field says
+// otherwise. An error response has a body of type Error.
 package adminapi
 
 import (
@@ -8,7 +8,7 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// Paths of the interface.
+// Paths of the API, with the method, parameters and types of request and response.
 const (
 	PathLive    = "/live"
 	PathReady   = "/ready"
@@ -18,61 +18,61 @@
 	PathHistory = "/v1/history"  // GET ?limit=N, []api.HistoryEntry
 	PathChanges = "/v1/changes"  // POST api.Submission, api.SubmitResult
 	PathInForce = "/v1/in-force" // GET ?revision=N, InForce
-	// PathProfiles is the prefix of the runtime's profiles.
+	// PathProfiles is the prefix of the paths of the Go runtime's profiles.
 	PathProfiles = "/debug/pprof/"
 	PathEvents   = "/v1/events" // GET with the fields of Filter, Timeline
 )
 
-// MaxChangeBytes bounds the body of a submission.
+// MaxChangeBytes bounds the request body of PathChanges, in bytes.
 const MaxChangeBytes = 16 << 20
 
-// Error is the body of an error answer.
+// Error is the body of an error response.
 type Error struct {
-	Step    string `json:"step"`
-	Peer    string `json:"peer,omitempty"`
+	Step    string `json:"step"`           // processing step that failed
+	Peer    string `json:"peer,omitempty"` // instance or target involved
 	Message string `json:"message"`
 }
 
-// Status describes one instance and what it knows of the others.
+// Status is the state of one instance and the state of its peers as known to it.
 type Status struct {
 	Instance   string            `json:"instance"`
 	DataCentre string            `json:"data_centre"`
 	Ready      bool              `json:"ready"`
 	NotReady   string            `json:"not_ready,omitempty"` // reason if not ready
-	Lease      bool              `json:"lease"`
-	Revision   uint64            `json:"revision"`
-	Out        []string          `json:"out,omitempty"`
+	Lease      bool              `json:"lease"`               // the instance lease is valid
+	Revision   uint64            `json:"revision"`            // of the view in force
+	Out        []string          `json:"out,omitempty"`       // data centres out of service
 	Pools      []PoolStatus      `json:"pools,omitempty"`
 	Peers      []PeerStatus      `json:"peers,omitempty"`
 	Control    api.ControlStatus `json:"control"`
 }
 
-// PoolStatus names the owner of a pool.
+// PoolStatus is the owner of a pool as known to an instance.
 type PoolStatus struct {
 	Pool  string `json:"pool"`
 	Owner string `json:"owner,omitempty"`
-	Epoch uint64 `json:"epoch,omitempty"`
+	Epoch uint64 `json:"epoch,omitempty"` // of the ownership
 }
 
-// PeerStatus is what this instance knows of another.
+// PeerStatus is the state of a peer as known to an instance.
 type PeerStatus struct {
 	Instance  string `json:"instance"`
-	Reachable bool   `json:"reachable"`
-	MayLease  bool   `json:"may_hold_lease"`
-	Revision  uint64 `json:"revision"`
+	Reachable bool   `json:"reachable"`      // a direct or relayed path is known
+	MayLease  bool   `json:"may_hold_lease"` // may have a valid instance lease
+	Revision  uint64 `json:"revision"`       // newest view revision that it has reported
 }
 
-// InForce tells whether a revision is in force on every instance that may
+// InForce reports whether a revision is in force on every instance that may
 // dispatch work.
 type InForce struct {
 	Revision uint64 `json:"revision"`
 	InForce  bool   `json:"in_force"`
-	// Waiting names the instances that may hold a lease and have not reported
+	// Waiting names the instances that may have a valid lease but have not reported
 	// the revision.
 	Waiting []string `json:"waiting,omitempty"`
 }
 
-// Filter selects events. Empty fields select all.
+// Filter selects events that match all non-empty fields.
 type Filter struct {
 	SinceMs   int64  `json:"since_ms,omitempty"`
 	UntilMs   int64  `json:"until_ms,omitempty"`
@@ -84,25 +84,25 @@
 
 // Match reports whether the filter selects the event.
 func (f Filter) Match(e kernel.Event) bool {
-	same := func(want, got string) bool { return want == "" || want == got }
+	matches := func(want, got string) bool { return want == "" || want == got }
 	return (f.SinceMs == 0 || e.Stamp.UnixMs >= f.SinceMs) &&
 		(f.UntilMs == 0 || e.Stamp.UnixMs <= f.UntilMs) &&
-		same(f.Kind, e.Kind) && same(f.Workspace, e.Workspace) &&
-		same(f.Target, e.Target) && same(f.Request, e.Request)
+		matches(f.Kind, e.Kind) && matches(f.Workspace, e.Workspace) &&
+		matches(f.Target, e.Target) && matches(f.Request, e.Request)
 }
 
 // InstanceEvents are the selected events of one instance.
 type InstanceEvents struct {
 	Instance string         `json:"instance"`
 	Events   []kernel.Event `json:"events"`
-	// Dropped counts events that were overwritten in the bounded ring.
+	// Dropped counts the events that were overwritten in the instance's buffer.
 	Dropped uint64 `json:"dropped"`
 }
 
-// Timeline merges the events of all instances in causal order.
+// Timeline holds the events of all instances in causal order.
 type Timeline struct {
 	Events []kernel.Event `json:"events"`
-	// Missing names the instances that did not answer.
+	// Missing names the instances that did not respond.
 	Missing []string `json:"missing,omitempty"`
 	// Dropped counts, per instance, the events that were overwritten.
 	Dropped map[string]uint64 `json:"dropped,omitempty"`
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain finds the story of one request in the log lines of many
-// instances: the decisions that touched it, in the order of time, and what the
-// instance that served it believed at that moment.
+// Package explain reconstructs the processing of one request from the logs of many
+// instances: the log lines of the request in order of time, and the state that the
+// instances had logged before they handled it, such as the configuration in force
+// and the known targets.
 package explain
 
 import (
@@ -19,10 +20,10 @@
 	"nutmegrouter/internal/logqueue"
 )
 
-// maxLine bounds one log line, in bytes. Lines of this program stay far below.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of one log line. Lines of this program are far shorter.
+const maxLineBytes = 1 << 20
 
-// Line is one log line.
+// Line is one parsed log line.
 type Line struct {
 	Time     time.Time      `json:"time"`
 	Level    string         `json:"level"`
@@ -32,75 +33,83 @@
 	Fields   map[string]any `json:"fields"` // all others
 }
 
-// Belief is the newest line about one thing that an instance believes.
+// Belief is the last log line about one subject, such as a target or the
+// configuration, that an instance wrote before its first line of the request.
 type Belief struct {
 	Line
-	Age time.Duration `json:"age_ns"` // at the first line of the request
+	// Age is the time from this line to the instance's first line of the request.
+	Age time.Duration `json:"age_ns"`
 }
 
-// Story is what the lines tell about a request.
+// Story is all that the logs contain about a request.
 type Story struct {
-	Request string   `json:"request"`
-	Lines   []Line   `json:"lines"`
+	Request string `json:"request"` // request id
+	// Lines are the log lines of the request in order of time.
+	Lines []Line `json:"lines"`
+	// Beliefs are the state of the instances that handled the request at that time.
 	Beliefs []Belief `json:"beliefs"`
 	// Outcome is the last line that ends the request; nil if there is none.
 	Outcome *Line `json:"outcome"`
-	// Read counts the lines read, Unreadable those that are no log lines.
+	// Read counts the input lines, Unreadable those that are not log lines.
 	Read       int `json:"read"`
 	Unreadable int `json:"unreadable"`
-	// Instances are those with lines in the input. Missing are instances that these
-	// lines name and that have none.
+	// Instances names the instances with lines in the input. Missing names those that
+	// the lines mention but that have no lines themselves.
 	Instances []string `json:"instances"`
 	Missing   []string `json:"missing"`
 }
 
-// ends are the messages that end a request.
-var ends = []string{"answered", "refused", "caller left", "answer cut", "stream broken", "stream cancelled"}
+// finalMessages are the log messages that end a request.
+var finalMessages = []string{"answered", "refused", "caller left", "answer cut", "stream broken", "stream cancelled"}
 
 const (
-	// peerField names another instance, or the address of its mesh where instances
-	// are discovered.
+	// peerField is the log key with the name of another instance, or with its mesh
+	// address where instances are discovered.
 	peerField = "peer"
-	// meshField is the address of an instance's own mesh, in its first line.
+	// meshField is the log key with the mesh address of the instance itself, in its
+	// first line.
 	meshField = "mesh"
 )
 
-// Reader collects lines. It keeps those of one request and the beliefs before them.
+// Reader reads log lines and keeps those of one request and the state logged before
+// them.
 type Reader struct {
-	story     Story
-	seen      map[string]bool            // instances with lines, and their addresses
-	addresses map[string]bool            // those of seen that are addresses
-	named     map[string]bool            // instances named by lines
-	beliefs   map[string]map[string]Line // by instance and subject
-	held      map[string]map[string]Line // beliefs at the first line of the request
+	result        Story
+	logged        map[string]bool            // names and mesh addresses of instances with lines
+	meshAddresses map[string]bool            // those of logged that are addresses
+	mentioned     map[string]bool            // instances that lines mention as peers
+	current       map[string]map[string]Line // newest line by instance and subject
+	atRequest     map[string]map[string]Line // copy of current at the first line of the request
 }
 
-// NewReader returns a reader for the lines of a request.
+// NewReader returns a reader for the lines of the request with this id.
 func NewReader(request string) *Reader {
 	return &Reader{
-		story: Story{Request: request},
-		seen:  map[string]bool{}, addresses: map[string]bool{}, named: map[string]bool{},
-		beliefs: map[string]map[string]Line{}, held: map[string]map[string]Line{},
+		result: Story{Request: request},
+		logged: map[string]bool{}, meshAddresses: map[string]bool{}, mentioned: map[string]bool{},
+		current: map[string]map[string]Line{}, atRequest: map[string]map[string]Line{},
 	}
 }
 
-// Read takes the lines of one source, in the order in which each instance wrote them.
-// Text before the first brace of a line is skipped, because collectors add their own.
+// Read reads the log lines of one source. Lines of one instance must be in the order in
+// which it wrote them. Text before the first brace of a line is skipped, because log
+// collectors add prefixes.
 func (r *Reader) Read(src io.Reader) error {
 	s := bufio.NewScanner(src)
-	s.Buffer(make([]byte, 0, 64<<10), maxLine)
+	s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for s.Scan() {
-		r.story.Read++
+		r.result.Read++
 		l, ok := parse(s.Bytes())
 		if !ok {
-			r.story.Unreadable++
+			r.result.Unreadable++
 			continue
 		}
-		r.take(l)
+		r.add(l)
 	}
 	return errors.WithMessage(s.Err(), "read log lines")
 }
 
+// parse decodes a log line; ok is false if it is not one of this program.
 func parse(raw []byte) (l Line, ok bool) {
 	begin := bytes.IndexByte(raw, '{')
 	if begin < 0 {
@@ -118,31 +127,33 @@
 	return l, true
 }
 
-func (r *Reader) take(l Line) {
-	r.seen[l.Instance] = true
+// add stores a line as one of the request or as the newest of its subject.
+func (r *Reader) add(l Line) {
+	r.logged[l.Instance] = true
 	if name, ok := l.Fields[peerField].(string); ok && name != "" {
-		r.named[name] = true
+		r.mentioned[name] = true
 	}
 	if address, ok := l.Fields[meshField].(string); ok {
-		r.seen[address] = true
-		r.addresses[address] = true
+		r.logged[address] = true
+		r.meshAddresses[address] = true
 	}
-	if id, _ := l.Fields[logqueue.RequestKey].(string); id == r.story.Request {
-		if r.held[l.Instance] == nil {
-			r.held[l.Instance] = maps.Clone(r.beliefs[l.Instance])
+	if id, _ := l.Fields[logqueue.RequestKey].(string); id == r.result.Request {
+		if r.atRequest[l.Instance] == nil {
+			r.atRequest[l.Instance] = maps.Clone(r.current[l.Instance])
 		}
-		r.story.Lines = append(r.story.Lines, l)
+		r.result.Lines = append(r.result.Lines, l)
 		return
 	}
 	if l.Level == logqueue.NoticeName || l.Level == slog.LevelError.String() {
-		if r.beliefs[l.Instance] == nil {
-			r.beliefs[l.Instance] = map[string]Line{}
+		if r.current[l.Instance] == nil {
+			r.current[l.Instance] = map[string]Line{}
 		}
-		r.beliefs[l.Instance][subject(l)] = l
+		r.current[l.Instance][subject(l)] = l
 	}
 }
 
-// subject tells what a belief is about: newer lines with the same subject replace it.
+// subject returns the subject of a line about an instance's state: a newer line with the
+// same subject replaces it.
 func subject(l Line) string {
 	if t, ok := l.Fields["target"].(string); ok {
 		return "target " + t
@@ -150,23 +161,23 @@
 	return l.Step
 }
 
-// Story returns what was found.
+// Story returns the result of all lines read so far.
 func (r *Reader) Story() Story {
-	s := r.story
+	s := r.result
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	for i := range s.Lines {
-		if slices.Contains(ends, s.Lines[i].Message) {
+		if slices.Contains(finalMessages, s.Lines[i].Message) {
 			s.Outcome = &s.Lines[i]
 		}
 	}
-	s.Beliefs = r.relevant(s.Lines)
-	for name := range r.seen {
-		if !r.addresses[name] {
+	s.Beliefs = r.relevantState(s.Lines)
+	for name := range r.logged {
+		if !r.meshAddresses[name] {
 			s.Instances = append(s.Instances, name)
 		}
 	}
-	for name := range r.named {
-		if !r.seen[name] {
+	for name := range r.mentioned {
+		if !r.logged[name] {
 			s.Missing = append(s.Missing, name)
 		}
 	}
@@ -175,22 +186,22 @@
 	return s
 }
 
-// relevant returns the beliefs of the instances that handled the request. Of the
-// targets only those count that its lines name.
-func (r *Reader) relevant(lines []Line) (out []Belief) {
-	used := map[string]bool{}
+// relevantState returns the state lines of the instances that handled the request,
+// without those about targets that the lines of the request do not mention.
+func (r *Reader) relevantState(lines []Line) (out []Belief) {
+	usedTargets := map[string]bool{}
 	first := map[string]time.Time{}
 	for _, l := range lines {
 		if t, ok := l.Fields["target"].(string); ok {
-			used["target "+t] = true
+			usedTargets["target "+t] = true
 		}
 		if _, ok := first[l.Instance]; !ok {
 			first[l.Instance] = l.Time
 		}
 	}
-	for instance, held := range r.held {
-		for about, l := range held {
-			if _, target := l.Fields["target"].(string); target && !used[about] {
+	for instance, states := range r.atRequest {
+		for key, l := range states {
+			if _, aboutTarget := l.Fields["target"].(string); aboutTarget && !usedTargets[key] {
 				continue
 			}
 			out = append(out, Belief{l, first[instance].Sub(l.Time)})
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Lines as two instances write them. The collector's prefix and a broken line are
-// what an engineer finds in real files.
+// Lines of two instances, with a prefix of a log collector and a truncated line as they
+// occur in real files.
 const (
 	entryLines = `
 {"time":"2026-01-01T00:00:01Z","level":"NOTICE","msg":"configuration in force","instance":"e1","step":"view","version":4}
@@ -32,7 +32,7 @@
 `
 )
 
-func read(t *testing.T, request string, sources ...string) Story {
+func readLines(t *testing.T, request string, sources ...string) Story {
 	t.Helper()
 	r := NewReader(request)
 	for _, src := range sources {
@@ -41,41 +41,43 @@
 	return r.Story()
 }
 
-// Guards against a story that is out of order, mixes requests or misses its end.
-func TestStory(t *testing.T) {
+// Guards against lines that are out of order or of another request, and against a
+// missing outcome.
+func TestRequestLinesInOrder(t *testing.T) {
 	is := is.New(t)
-	s := read(t, "r1", entryLines, otherLines)
-	var told []string
+	s := readLines(t, "r1", entryLines, otherLines)
+	var messages []string
 	for _, l := range s.Lines {
-		told = append(told, l.Message)
+		messages = append(messages, l.Message)
 	}
-	is.Equal(told, []string{"admitted", "placed", "sent", "attempt failed", "refused"})
+	is.Equal(messages, []string{"admitted", "placed", "sent", "attempt failed", "refused"})
 	is.True(s.Outcome != nil)
 	is.Equal(s.Outcome.Fields["code"], "target_broken")
 	is.Equal(s.Unreadable, 1)
 	is.Equal(s.Instances, []string{"e1", "e2"})
-	is.Equal(s.Missing, []string{"c1"}) // its lines would tell who was leader
+	is.Equal(s.Missing, []string{"c1"}) // mentioned as the leader, but without lines
 }
 
-// Guards against beliefs that came later than the request, or about other targets.
-func TestBeliefsAtThatTime(t *testing.T) {
+// Guards against state that was logged after the request began, or is about targets
+// that the request did not use.
+func TestStateAtTimeOfRequest(t *testing.T) {
 	is := is.New(t)
-	s := read(t, "r1", entryLines)
-	var about []string
+	s := readLines(t, "r1", entryLines)
+	var messages []string
 	for _, b := range s.Beliefs {
-		about = append(about, b.Message)
+		messages = append(messages, b.Message)
 		if b.Step == "view" {
 			is.Equal(b.Fields["version"], 7.0)
 			is.Equal(b.Age, time.Second)
 		}
 	}
-	is.Equal(about, []string{"target known", "configuration in force"})
+	is.Equal(messages, []string{"target known", "configuration in force"})
 }
 
-// Guards against an invented story where the lines are not there.
-func TestNoLines(t *testing.T) {
+// Guards against a result for a request without lines.
+func TestUnknownRequest(t *testing.T) {
 	is := is.New(t)
-	s := read(t, "r9", entryLines)
+	s := readLines(t, "r9", entryLines)
 	is.Equal(len(s.Lines), 0)
 	is.True(s.Outcome == nil)
 	is.Equal(len(s.Beliefs), 0)
--- a/internal/logqueue/handler.go
+++ b/internal/logqueue/handler.go
@@ -1,9 +1,9 @@
-// Package logqueue writes structured log lines without ever blocking the code that
-// makes them. Lines wait in bounded queues and one goroutine writes them. The
-// volume is bounded: when requests make more lines than allowed, the lines of some
-// requests are left out, all of them alike. Lines of failed requests (level Warn)
-// and lines about the process and what it believes (levels Notice and Error) have
-// bounds of their own, and are written first.
+// Package logqueue is an asynchronous slog handler that never blocks the code that
+// logs. Lines wait in bounded queues and one goroutine writes them. The volume is
+// limited: if requests produce more lines than allowed, requests are sampled, and all
+// lines of the others are dropped. Lines of failed requests (level Warn) and lines
+// about the state of the process (levels Notice and Error) have limits of their own
+// and are written first.
 package logqueue
 
 import (
@@ -18,83 +18,86 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// LevelNotice marks changes of what the process believes.
+// LevelNotice is the level of lines about changes of the state of the process, such as
+// the known leader or the configuration in force.
 const LevelNotice = slog.LevelInfo + 2
 
-// NoticeName is the name of LevelNotice in lines.
+// NoticeName is the name of LevelNotice in log lines.
 const NoticeName = "NOTICE"
 
-// RequestKey is the attribute that holds a request's id.
+// RequestKey is the key of the attribute with a request's id.
 const RequestKey = "request"
 
-// Bounds of the volume of one process.
+// Limits on the log volume of one process.
 const (
-	// OrdinaryBytes bounds the lines of requests that went well, in bytes a second.
+	// OrdinaryBytes limits lines up to the level Info, which are those of requests
+	// without failures, in bytes per second.
 	OrdinaryBytes = 96 << 10
-	// FailedBytes bounds the lines of failed requests.
+	// FailedBytes limits the lines of failed requests, in bytes per second.
 	FailedBytes = 64 << 10
-	// BeliefBytes bounds all other lines.
+	// BeliefBytes limits all other lines, in bytes per second.
 	BeliefBytes = 64 << 10
-	// queueLines bounds the lines that wait for the writer, for each kind.
-	queueLines = 2048
-	// writeBytes is what one write takes at most.
-	writeBytes = 64 << 10
-	// interval is how often the bounds are settled.
-	interval = time.Second
+	// queueCapacity bounds the lines of each class that wait for the writer.
+	queueCapacity = 2048
+	// maxWriteBytes is the size from which on no more lines are added to a write.
+	maxWriteBytes = 64 << 10
+	// volumeInterval is the time over which the volume is limited.
+	volumeInterval = time.Second
 )
 
-// Queue is the destination of lines. It must be run.
+// Queue holds log lines until they are written. Lines are written by Run or Flush.
 type Queue struct {
-	out      io.Writer
-	ordinary class
-	failed   class
-	beliefs  class
-	kept     atomic.Uint32 // share of requests whose lines are kept, of 2^32
-	writing  sync.Mutex
+	out       io.Writer
+	ordinary  lineClass
+	failed    lineClass
+	state     lineClass
+	keptShare atomic.Uint32 // share of requests whose lines are kept, of 2^32
+	writeMu   sync.Mutex    // serializes writes to out
 }
 
-// class is one kind of lines.
-type class struct {
-	lines   chan []byte
-	limit   int64
-	bytes   atomic.Int64 // wanted in this interval, also by ordinary lines left out
-	used    atomic.Int64 // queued in this interval
-	dropped *metrics.Counter
+// lineClass is a class of lines with its own queue and volume limit.
+type lineClass struct {
+	lines    chan []byte
+	maxBytes int64        // bytes per interval
+	offered  atomic.Int64 // logged in this interval, including dropped lines
+	charged  atomic.Int64 // counted against the limit in this interval
+	dropped  *metrics.Counter
 }
 
-// New returns a queue that counts what it drops.
+// New returns a queue that writes to out. The counter nutmeg_log_lines_dropped_total in
+// the set counts dropped lines by class.
 func New(out io.Writer, set *metrics.Set) *Queue {
 	q := &Queue{
 		out:      out,
-		ordinary: newClass(set, "ordinary", OrdinaryBytes),
-		failed:   newClass(set, "failed", FailedBytes),
-		beliefs:  newClass(set, "beliefs", BeliefBytes),
+		ordinary: newLineClass(set, "ordinary", OrdinaryBytes),
+		failed:   newLineClass(set, "failed", FailedBytes),
+		state:    newLineClass(set, "beliefs", BeliefBytes),
 	}
-	q.kept.Store(^uint32(0))
+	q.keptShare.Store(^uint32(0))
 	return q
 }
 
-func newClass(set *metrics.Set, kind string, limit int64) class {
-	return class{
-		lines: make(chan []byte, queueLines), limit: limit,
+func newLineClass(set *metrics.Set, kind string, limit int64) lineClass {
+	return lineClass{
+		lines: make(chan []byte, queueCapacity), maxBytes: limit,
 		dropped: set.GetOrCreateCounter(`nutmeg_log_lines_dropped_total{kind="` + kind + `"}`),
 	}
 }
 
-// Run writes lines until the context ends, then those that are left.
+// Run writes lines until the context ends, and then the lines still queued.
 func (q *Queue) Run(ctx context.Context) {
-	t := time.NewTicker(interval)
+	t := time.NewTicker(volumeInterval)
 	defer t.Stop()
 	for {
 		select {
-		case l := <-q.beliefs.lines:
+		case l := <-q.state.lines:
 			q.write(l)
 		case l := <-q.failed.lines:
 			q.write(l)
 		case l := <-q.ordinary.lines:
 			q.write(l)
 		case <-t.C:
-			q.settle()
+			q.startInterval()
 		case <-ctx.Done():
 			q.Flush()
 			return
@@ -102,38 +105,38 @@
 	}
 }
 
-// settle adapts the share of requests whose lines are kept to the volume of the
-// last interval, and begins a new one.
-func (q *Queue) settle() {
-	wanted := q.ordinary.bytes.Swap(0)
-	for _, c := range []*class{&q.ordinary, &q.failed, &q.beliefs} {
-		c.used.Store(0)
+// startInterval resets the volume counters and sets the share of requests whose lines
+// are kept according to the volume of the last interval.
+func (q *Queue) startInterval() {
+	wanted := q.ordinary.offered.Swap(0)
+	for _, c := range []*lineClass{&q.ordinary, &q.failed, &q.state} {
+		c.charged.Store(0)
 	}
 	share := 1.0
-	if wanted > q.ordinary.limit {
-		share = float64(q.ordinary.limit) / float64(wanted)
+	if wanted > q.ordinary.maxBytes {
+		share = float64(q.ordinary.maxBytes) / float64(wanted)
 	}
-	q.kept.Store(uint32(share * float64(^uint32(0))))
+	q.keptShare.Store(uint32(share * float64(^uint32(0))))
 }
 
-// write writes a line and those that wait behind it in one call.
+// write writes a line and the lines queued after it in one call.
 func (q *Queue) write(first []byte) {
-	q.writing.Lock()
-	defer q.writing.Unlock()
+	q.writeMu.Lock()
+	defer q.writeMu.Unlock()
 	batch := first
-	for len(batch) < writeBytes {
+	for len(batch) < maxWriteBytes {
 		l := q.next()
 		if l == nil {
 			break
 		}
 		batch = append(batch, l...)
 	}
-	_, _ = q.out.Write(batch) // there is no other place to report to
+	_, _ = q.out.Write(batch) // an error of the log cannot be logged
 }
 
-// next returns a waiting line, the most important one first, or nil.
+// next returns the next queued line of the most important class, or nil.
 func (q *Queue) next() []byte {
-	for _, c := range []*class{&q.beliefs, &q.failed, &q.ordinary} {
+	for _, c := range []*lineClass{&q.state, &q.failed, &q.ordinary} {
 		select {
 		case l := <-c.lines:
 			return l
@@ -143,17 +146,17 @@
 	return nil
 }
 
-// Flush writes the lines that wait now.
+// Flush writes all queued lines.
 func (q *Queue) Flush() {
 	for l := q.next(); l != nil; l = q.next() {
 		q.write(l)
 	}
 }
 
-// push queues a line, or drops it if the queue or the volume is full.
-func (c *class) push(line []byte) {
-	c.bytes.Add(int64(len(line)))
-	if c.used.Add(int64(len(line))) > c.limit {
+// enqueue queues a line, or drops it if the queue is full or the volume limit exceeded.
+func (c *lineClass) enqueue(line []byte) {
+	c.offered.Add(int64(len(line)))
+	if c.charged.Add(int64(len(line))) > c.maxBytes {
 		c.dropped.Inc()
 		return
 	}
@@ -164,35 +167,35 @@
 	}
 }
 
-// Notice logs a change of what the process believes.
+// Notice logs a change of the state of the process at LevelNotice.
 func Notice(l *slog.Logger, msg string, args ...any) {
 	l.Log(context.Background(), LevelNotice, msg, args...)
 }
 
-// Discard drops the lines of a library that logs the faults of its callers; they are
-// counted instead.
+// Discard is a fasthttp logger that drops all lines. The library logs the errors of its
+// clients, which are counted in metrics instead.
 type Discard struct{}
 
-// Printf implements the loggers of fasthttp.
+// Printf implements fasthttp.Logger.
 func (Discard) Printf(string, ...any) {}
 
-// Handler implements slog.Handler on a queue.
+// Handler is a slog.Handler that formats lines as JSON and adds them to a Queue.
 type Handler struct {
-	q       *Queue
-	json    slog.Handler // writes to a buffer
-	buf     *buffer
-	request uint32 // hash of the request's id
-	bound   bool   // the handler carries a request's id
+	queue      *Queue
+	json       slog.Handler // writes to buf
+	buf        *lineBuffer
+	idHash     uint32 // hash of the request's id
+	hasRequest bool   // WithAttrs has set a request's id
 }
 
-// Handler returns a handler of lines in JSON from a level on.
+// Handler returns a handler for lines of at least this level.
 func (q *Queue) Handler(level slog.Level) *Handler {
-	buf := &buffer{}
-	return &Handler{q: q, buf: buf, json: slog.NewJSONHandler(buf, &slog.HandlerOptions{Level: level, ReplaceAttr: nameLevels})}
+	buf := &lineBuffer{}
+	return &Handler{queue: q, buf: buf, json: slog.NewJSONHandler(buf, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceLevelName})}
 }
 
-// nameLevels gives the level of changed beliefs its name.
-func nameLevels(_ []string, a slog.Attr) slog.Attr {
+// replaceLevelName replaces the standard name of LevelNotice, INFO+2, by NoticeName.
+func replaceLevelName(_ []string, a slog.Attr) slog.Attr {
 	if a.Key == slog.LevelKey && a.Value.Any() == LevelNotice {
 		return slog.String(slog.LevelKey, NoticeName)
 	}
@@ -202,45 +205,47 @@
 // Enabled implements slog.Handler.
 func (h *Handler) Enabled(ctx context.Context, l slog.Level) bool { return h.json.Enabled(ctx, l) }
 
-// averageLine is counted for a line that is left out without being made.
-const averageLine = 320 // bytes
+// averageLineBytes is the estimated size of a line that is dropped before it is
+// formatted.
+const averageLineBytes = 320
 
 // Handle implements slog.Handler.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	c := &h.q.beliefs
-	hash, ofRequest := h.requestOf(r)
+	c := &h.queue.state
+	hash, hasRequest := h.requestHash(r)
 	switch {
 	case r.Level <= slog.LevelInfo:
-		c = &h.q.ordinary
-		if ofRequest && hash > h.q.kept.Load() {
-			c.bytes.Add(averageLine)
+		c = &h.queue.ordinary
+		if hasRequest && hash > h.queue.keptShare.Load() {
+			c.offered.Add(averageLineBytes)
 			c.dropped.Inc()
 			return nil
 		}
-	case r.Level == slog.LevelWarn && ofRequest:
-		c = &h.q.failed
+	case r.Level == slog.LevelWarn && hasRequest:
+		c = &h.queue.failed
 	}
-	if c.used.Load() > c.limit {
-		c.bytes.Add(averageLine)
+	if c.charged.Load() > c.maxBytes {
+		c.offered.Add(averageLineBytes)
 		c.dropped.Inc()
 		return nil
 	}
 	h.buf.Lock()
-	h.buf.line = make([]byte, 0, 2*averageLine)
+	h.buf.line = make([]byte, 0, 2*averageLineBytes)
 	err := h.json.Handle(ctx, r)
 	line := h.buf.line
 	h.buf.line = nil
 	h.buf.Unlock()
 	if err == nil {
-		c.push(line)
+		c.enqueue(line)
 	}
 	return err
 }
 
-// requestOf returns the hash of the request that a line belongs to.
-func (h *Handler) requestOf(r slog.Record) (hash uint32, ok bool) {
-	if h.bound {
-		return h.request, true
+// requestHash returns the hash of the id of the request to which a line belongs; ok is
+// false if it belongs to none.
+func (h *Handler) requestHash(r slog.Record) (hash uint32, ok bool) {
+	if h.hasRequest {
+		return h.idHash, true
 	}
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == RequestKey {
@@ -257,7 +262,7 @@
 	n.json = h.json.WithAttrs(attrs)
 	for _, a := range attrs {
 		if a.Key == RequestKey {
-			n.request, n.bound = hashID(a.Value.String()), true
+			n.idHash, n.hasRequest = hashID(a.Value.String()), true
 		}
 	}
 	return &n
@@ -273,18 +278,20 @@
 func hashID(id string) uint32 {
 	f := fnv.New32a()
 	_, _ = f.Write([]byte(id)) // never fails
-	// The low bits of FNV vary more than the high ones that the share is taken of.
+	// The comparison with the share depends on the high bits, which vary less than the
+	// low ones in FNV. The multiplication mixes the low bits into the high ones.
 	return f.Sum32() * 2654435761
 }
 
-// buffer takes one line from the JSON handler. Its lock is held around the call.
-type buffer struct {
+// lineBuffer receives one line from the JSON handler. Its lock is held while the handler
+// runs.
+type lineBuffer struct {
 	sync.Mutex
 	line []byte
 }
 
 // Write implements io.Writer.
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *lineBuffer) Write(p []byte) (int, error) {
 	b.line = append(b.line, p...)
 	return len(p), nil
 }
--- a/internal/logqueue/handler_test.go
+++ b/internal/logqueue/handler_test.go
@@ -16,18 +16,18 @@
 	"github.com/matryer/is"
 )
 
-// stuck is a reader that never reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Guards against requests that wait for a reader of the log that never reads.
+// Guards against code that blocks while the log's writer blocks.
 func TestNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	out := stuck{make(chan struct{})}
+	out := blockedWriter{make(chan struct{})}
 	set := metrics.NewSet()
 	q := New(out, set)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,14 +47,14 @@
 	<-done
 }
 
-// Guards against a volume beyond its bound, against stories of requests of which
-// only a part is kept, and against lines of failures that yield to others.
-func TestVolume(t *testing.T) {
+// Guards against a volume above its limit, against requests of which only some lines
+// are kept, and against lines of failures that are dropped in favour of others.
+func TestVolumeBounded(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	q := New(&out, metrics.NewSet())
 	log := slog.New(q.Handler(slog.LevelInfo))
-	round := func(n int) {
+	logRequests := func(n int) {
 		out.Reset()
 		for i := range n {
 			log.Info("admitted", RequestKey, fmt.Sprint(i))
@@ -65,9 +65,9 @@
 		Notice(log, "leader known")
 		q.Flush()
 	}
-	round(5000)
-	q.settle()
-	round(5000)
+	logRequests(5000)
+	q.startInterval()
+	logRequests(5000)
 	is.True(out.Len() <= OrdinaryBytes+FailedBytes+BeliefBytes)
 	lines := map[string]int{}
 	for _, l := range strings.Split(strings.TrimSpace(out.String()), "\n") {
@@ -86,11 +86,11 @@
 			partial++
 		}
 	}
-	is.True(partial <= 1) // all lines of a request, or none, but for the last one within the bound
+	is.True(partial <= 1) // all lines of a request or none, except the last one within the limit
 }
 
-// Guards against lines that mix when several goroutines log.
-func TestConcurrent(t *testing.T) {
+// Guards against interleaved lines when several goroutines log.
+func TestConcurrentLinesStayWhole(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	q := New(&out, metrics.NewSet())
@@ -120,11 +120,11 @@
 	is.Equal(n, 400)
 }
 
-// BenchmarkLine measures a line that is written, BenchmarkDropped one that is left
-// out because of the volume.
+// BenchmarkLine measures a line that is written, BenchmarkDropped one that is dropped
+// because of the volume limit.
 func BenchmarkLine(b *testing.B) {
 	q := New(io.Discard, metrics.NewSet())
-	q.ordinary.limit = 1 << 60
+	q.ordinary.maxBytes = 1 << 60
 	log := slog.New(q.Handler(slog.LevelInfo)).With(RequestKey, "0123456789abcdef")
 	b.ReportAllocs()
 	for b.Loop() {
@@ -135,7 +135,7 @@
 
 func BenchmarkDropped(b *testing.B) {
 	q := New(io.Discard, metrics.NewSet())
-	q.kept.Store(0)
+	q.keptShare.Store(0)
 	log := slog.New(q.Handler(slog.LevelInfo)).With(RequestKey, "0123456789abcdef")
 	b.ReportAllocs()
 	for b.Loop() {
