--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -183,7 +183,7 @@
 	Revision uint64 `json:"revision"`
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author,omitempty"`
-	UnixMs   int64  `json:"unix_ms"` // when it was accepted
+	UnixMs   int64  `json:"unix_ms"` // wall clock of the leader that proposed it
 	Summary  string `json:"summary"` // what it changed, as text
 }
 
@@ -225,7 +225,8 @@
 type Control interface {
 	// Submit proposes a change and returns once it is accepted or refused.
 	Submit(ctx context.Context, s Submission) (SubmitResult, error)
-	// History returns up to limit of the newest accepted changes, newest first.
+	// History returns up to limit of the newest accepted changes, newest first; a
+	// limit below 1 returns all that are stored.
 	History(ctx context.Context, limit int) ([]HistoryEntry, error)
 	// Claim claims a request for holder, a unique request id, so that requests
 	// with the same key run at most once.
