--- a/examples/amman/main.go
+++ b/examples/amman/main.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	matchers = 12 // replicas of the cartridge matcher
-	counters = 4  // replicas of the reservation service
-	shops    = 13 // small workspaces
+	matcherReplicas = 12 // replicas of the cartridge matcher
+	counterReplicas = 4  // replicas of the reservation service
+	shopWorkspaces  = 13 // small workspaces
 )
 
 func main() {
@@ -25,27 +25,28 @@
 	}
 }
 
+// fleet returns the definition of the example fleet.
 func fleet() *operator.Fleet {
 	f := operator.New("amman")
-	var places []operator.DataCentre
+	var dataCentres []operator.DataCentre
 	for _, name := range []string{"amman-a", "amman-b", "amman-c", "amman-d"} {
-		places = append(places, f.DataCentre(name))
+		dataCentres = append(dataCentres, f.DataCentre(name))
 	}
 	matcher := f.Engine("matcher-llm", "matcher-7b", "3")
-	for i := range matchers {
-		matcher.Target(fmt.Sprintf("matcher-%02d", i+1), places[i%len(places)],
-			fmt.Sprintf("10.20.%d.%d:8000", i%len(places)+1, i/len(places)+1), operator.Capacity{Warm: 8, Cold: 2})
+	for i := range matcherReplicas {
+		matcher.Target(fmt.Sprintf("matcher-%02d", i+1), dataCentres[i%len(dataCentres)],
+			fmt.Sprintf("10.20.%d.%d:8000", i%len(dataCentres)+1, i/len(dataCentres)+1), operator.Capacity{Warm: 8, Cold: 2})
 	}
 	// A reservation must not run twice, so the service is not marked idempotent.
 	counter := f.Service("counter-api").Set(func(p *fleetconfig.Pool) { p.RequestLimitMs = 30_000 })
-	for i := range counters {
-		counter.Target(fmt.Sprintf("counter-%d", i+1), places[i],
+	for i := range counterReplicas {
+		counter.Target(fmt.Sprintf("counter-%d", i+1), dataCentres[i],
 			fmt.Sprintf("10.21.%d.1:8000", i+1), operator.Capacity{Warm: 32, Cold: 4})
 	}
 	f.Workspace("plumbers-jordan", 8, operator.HashKey("example-plumbers-jordan"))
 	f.Workspace("counter-chain", 6, operator.HashKey("example-counter-chain"))
 	f.Workspace("wholesale", 4, operator.HashKey("example-wholesale"))
-	for i := range shops {
+	for i := range shopWorkspaces {
 		name := fmt.Sprintf("shop-%02d", i+1)
 		f.Workspace(name, 1, operator.HashKey("example-"+name))
 	}
--- a/examples/sierranorte/main.go
+++ b/examples/sierranorte/main.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	engines  = 18 // replicas of the layout assistant
-	bookings = 4  // replicas of the booking service
-	parishes = 12 // small workspaces
+	engineReplicas   = 18 // replicas of the layout assistant
+	bookingReplicas  = 4  // replicas of the booking service
+	parishWorkspaces = 12 // small workspaces
 )
 
 func main() {
@@ -23,28 +23,30 @@
 	}
 }
 
+// fleet returns the definition of the example fleet.
 func fleet() *operator.Fleet {
 	f := operator.New("sierra-norte")
-	var places []operator.DataCentre
+	var dataCentres []operator.DataCentre
 	for _, name := range []string{"quito-centro", "cumbaya", "tumbaco", "calderon"} {
-		places = append(places, f.DataCentre(name))
+		dataCentres = append(dataCentres, f.DataCentre(name))
 	}
 	tiza := f.Engine("tiza-llm", "tiza-8b", "1")
-	for i := range engines {
-		at := i % len(places)
-		tiza.Target(fmt.Sprintf("tiza-%02d", i+1), places[at],
-			fmt.Sprintf("10.40.%d.%d:8000", at+1, i/len(places)+1), operator.Capacity{Warm: 6, Cold: 1})
+	for i := range engineReplicas {
+		dc := i % len(dataCentres)
+		tiza.Target(fmt.Sprintf("tiza-%02d", i+1), dataCentres[dc],
+			fmt.Sprintf("10.40.%d.%d:8000", dc+1, i/len(dataCentres)+1), operator.Capacity{Warm: 6, Cold: 1})
 	}
-	// A doubled confirmation charges a hirer twice, so bookings are not idempotent.
+	// Running a confirmation twice charges a hirer twice, so the service is not marked
+	// idempotent.
 	reservas := f.Service("reservas").Set(func(p *fleetconfig.Pool) { p.RequestLimitMs = 20_000 })
-	for i := range bookings {
-		reservas.Target(fmt.Sprintf("reservas-%d", i+1), places[i],
+	for i := range bookingReplicas {
+		reservas.Target(fmt.Sprintf("reservas-%d", i+1), dataCentres[i],
 			fmt.Sprintf("10.41.%d.1:8000", i+1), operator.Capacity{Warm: 24, Cold: 4})
 	}
 	for _, large := range []string{"municipio-quito", "colegios-norte", "ferias-pichincha", "plazas-unidas"} {
 		f.Workspace(large, 5, operator.HashKey("example-"+large))
 	}
-	for i := range parishes {
+	for i := range parishWorkspaces {
 		name := fmt.Sprintf("parroquia-%02d", i+1)
 		f.Workspace(name, 1, operator.HashKey("example-"+name))
 	}
--- a/examples/sierranorte/main_test.go
+++ b/examples/sierranorte/main_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a committed document that differs from what the program prints.
+// Guards against a committed config.json that differs from the program's output.
 func TestCommittedDocument(t *testing.T) {
 	is := is.New(t)
 	var printed bytes.Buffer
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a picture that is no well-formed SVG or lacks a series, also
-// with no value at all.
+// Guards against output that is not well-formed XML, lacks the label of a series or
+// mark, or contains NaN, also if all values are zero or there are none.
 func TestWrite(t *testing.T) {
 	for _, values := range [][]float64{{1, 2, 30}, {0}, nil} {
 		is := is.New(t)
--- a/internal/doccheck/doc.go
+++ b/internal/doccheck/doc.go
@@ -1,2 +1,2 @@
-// Package doccheck holds tests that compare the documents with the code.
+// Package doccheck contains tests that check the documentation against the code.
 package doccheck
--- a/internal/fleetrun/fleet.go
+++ b/internal/fleetrun/fleet.go
@@ -20,11 +20,11 @@
 const (
 	standinName  = "standin"
 	pollInterval = 50 * time.Millisecond
-	probeLimit   = time.Second
+	probeTimeout = time.Second
 )
 
-// errEnded ends a wait early, because a process that ended stays so.
-var errEnded = errors.New("process ended")
+// errProcessExited ends a poll early, because an exited process is not restarted.
+var errProcessExited = errors.New("process exited")
 
 // Fleet runs the processes of a layout.
 type Fleet struct {
@@ -32,7 +32,7 @@
 	procs proc.Group
 }
 
-// New returns a fleet with no process running.
+// New writes the files of a fleet (see Plan) and returns it with no process running.
 func New(o Options) (*Fleet, error) {
 	l, err := Plan(o)
 	if err != nil {
@@ -41,7 +41,8 @@
 	return &Fleet{Layout: l}, nil
 }
 
-// Build compiles the programs into a folder.
+// Build compiles nutmegd, nutmegctl and nutmegstandin into a folder. The error
+// contains the compiler's output.
 func Build(ctx context.Context, dir string) error {
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", dir+string(filepath.Separator),
 		"nutmegrouter/cmd/nutmegd", "nutmegrouter/cmd/nutmegctl", "nutmegrouter/cmd/nutmegstandin")
@@ -49,17 +50,18 @@
 	return errors.Wrapf(err, "build programs: %s", out)
 }
 
-// StartStandins starts the stand-ins and waits until they listen.
+// StartStandins starts the process of the stand-ins and waits until the last of
+// them accepts connections or the context ends.
 func (f *Fleet) StartStandins(ctx context.Context) error {
 	err := f.procs.Put(standinName, func() (*proc.Process, error) {
-		return proc.Launch(standinName, filepath.Join(f.Bin, "nutmegstandin"), f.log(standinName), "-file", f.file("standin.json"))
+		return proc.Launch(standinName, filepath.Join(f.Bin, "nutmegstandin"), f.logPath(standinName), "-file", f.filePath("standin.json"))
 	})
 	if err != nil {
 		return err
 	}
-	last := f.Specs[len(f.Specs)-1].Listen
+	lastAddress := f.Specs[len(f.Specs)-1].Listen
 	return f.poll(ctx, "stand-ins listen", func() error {
-		c, err := net.DialTimeout("tcp", last, probeLimit)
+		c, err := net.DialTimeout("tcp", lastAddress, probeTimeout)
 		if err == nil {
 			err = c.Close()
 		}
@@ -67,17 +69,18 @@
 	})
 }
 
-func (f *Fleet) log(name string) string { return filepath.Join(f.Dir, "logs", name+".log") }
+func (f *Fleet) logPath(name string) string { return filepath.Join(f.Dir, "logs", name+".log") }
 
-// Start starts routers; no name means all.
+// Start starts the named instances, or all if there is no name, without waiting for
+// them to be ready. It fails if one is unknown or already running.
 func (f *Fleet) Start(names ...string) error {
-	for _, name := range f.orAll(names) {
+	for _, name := range f.namesOrAll(names) {
 		r, err := f.Router(name)
 		if err != nil {
 			return err
 		}
 		err = f.procs.Put(name, func() (*proc.Process, error) {
-			return proc.Launch(name, filepath.Join(f.Bin, "nutmegd"), f.log(name), "-settings", r.File)
+			return proc.Launch(name, filepath.Join(f.Bin, "nutmegd"), f.logPath(name), "-settings", r.File)
 		})
 		if err != nil {
 			return err
@@ -86,7 +89,8 @@
 	return nil
 }
 
-func (f *Fleet) orAll(names []string) []string {
+// namesOrAll returns the names, or those of all instances if there are none.
+func (f *Fleet) namesOrAll(names []string) []string {
 	if len(names) > 0 {
 		return names
 	}
@@ -96,7 +100,7 @@
 	return names
 }
 
-// Signal sends a signal to a router.
+// Signal sends a signal to an instance. It fails if the instance is not running.
 func (f *Fleet) Signal(name string, s syscall.Signal) error {
 	p, err := f.procs.Get(name)
 	if err != nil {
@@ -105,7 +109,7 @@
 	return p.Signal(s)
 }
 
-// Kill ends a router at once and waits until it is gone.
+// Kill sends SIGKILL to an instance and waits until its process has exited.
 func (f *Fleet) Kill(name string) error {
 	if err := f.Signal(name, syscall.SIGKILL); err != nil {
 		return err
@@ -118,14 +122,15 @@
 	return nil
 }
 
-// Freeze stops a router's process without ending it.
+// Freeze suspends the process of an instance with SIGSTOP.
 func (f *Fleet) Freeze(name string) error { return f.Signal(name, syscall.SIGSTOP) }
 
-// Thaw lets a frozen router go on.
+// Thaw resumes a suspended instance with SIGCONT.
 func (f *Fleet) Thaw(name string) error { return f.Signal(name, syscall.SIGCONT) }
 
-// Stop asks a router for a planned stop and waits for its end with exit code 0.
-func (f *Fleet) Stop(name string, limit time.Duration) error {
+// Stop requests a planned stop of an instance with SIGTERM and waits until it has
+// exited. Another exit code than 0 and a timeout are errors.
+func (f *Fleet) Stop(name string, timeout time.Duration) error {
 	if err := f.Signal(name, syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -133,41 +138,43 @@
 	if err != nil {
 		return err
 	}
-	return errors.Wrap(p.Wait(limit), "stop "+name)
+	return errors.Wrap(p.Wait(timeout), "stop "+name)
 }
 
-// Running reports whether a router's process runs.
+// Running reports whether the process of an instance is running.
 func (f *Fleet) Running(name string) bool {
 	p, err := f.procs.Get(name)
 	return err == nil && p.Running()
 }
 
-// Wipe deletes the data folder of a stopped router.
+// Wipe deletes the data folder of a stopped instance. It fails if the instance is
+// running or has no data folder.
 func (f *Fleet) Wipe(name string) error {
 	r, err := f.Router(name)
 	if err != nil {
 		return err
 	}
 	if f.Running(name) || r.DataDir == "" {
-		return errors.Errorf("wipe %s: it runs or has no data folder", name)
+		return errors.Errorf("wipe %s: the instance is running or has no data folder", name)
 	}
 	return errors.Wrap(os.RemoveAll(r.DataDir), "wipe")
 }
 
-// Close ends all processes.
+// Close kills all processes of the fleet and waits until they have exited.
 func (f *Fleet) Close() { f.procs.KillAll() }
 
-// WaitReady waits until the routers are ready for callers; no name means all.
+// WaitReady waits until the readiness probes of the named instances, or of all if
+// there is no name, succeed. It fails if the context ends or an instance exits.
 func (f *Fleet) WaitReady(ctx context.Context, names ...string) error {
-	client := &http.Client{Timeout: probeLimit, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, name := range f.orAll(names) {
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for _, name := range f.namesOrAll(names) {
 		r, err := f.Router(name)
 		if err != nil {
 			return err
 		}
 		err = f.poll(ctx, name+" ready", func() error {
 			if !f.Running(name) {
-				return errEnded
+				return errProcessExited
 			}
 			return probe(client, "http://"+r.Admin+"/ready")
 		})
@@ -178,6 +185,7 @@
 	return nil
 }
 
+// probe returns an error with the status and the body unless the response is 200.
 func probe(client *http.Client, url string) error {
 	resp, err := client.Get(url)
 	if err != nil {
@@ -192,26 +200,26 @@
 	return errors.Errorf("%s: %s", resp.Status, strings.TrimSpace(text.String()))
 }
 
-// poll repeats ok until it gives no error or the context ends.
-func (f *Fleet) poll(ctx context.Context, what string, ok func() error) error {
+// poll calls check until it returns nil or errProcessExited, or the context ends.
+func (f *Fleet) poll(ctx context.Context, what string, check func() error) error {
 	for {
-		err := ok()
+		err := check()
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, errEnded) {
+		if errors.Is(err, errProcessExited) {
 			return errors.Wrap(err, what)
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(err, "not in time: %s", what)
+			return errors.Wrapf(err, "condition not reached before the context ended: %s", what)
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// admins returns the operators' addresses of the routers whose processes run.
-func (f *Fleet) admins() (out []string) {
+// adminAddresses returns the admin addresses of the running instances.
+func (f *Fleet) adminAddresses() (out []string) {
 	for _, r := range f.Routers {
 		if f.Running(r.Instance) {
 			out = append(out, r.Admin)
@@ -220,15 +228,16 @@
 	return out
 }
 
-// Ctl runs nutmegctl against the routers whose processes run.
+// Ctl runs nutmegctl against the running instances and returns its output, stdout
+// and stderr combined. Another exit code than 0 is an error.
 func (f *Fleet) Ctl(ctx context.Context, args ...string) (string, error) {
-	cmd := exec.CommandContext(ctx, filepath.Join(f.Bin, "nutmegctl"), append([]string{"-admin", strings.Join(f.admins(), ",")}, args...)...)
+	cmd := exec.CommandContext(ctx, filepath.Join(f.Bin, "nutmegctl"), append([]string{"-admin", strings.Join(f.adminAddresses(), ",")}, args...)...)
 	out, err := cmd.CombinedOutput()
 	return string(out), errors.Wrapf(err, "nutmegctl %s: %s", strings.Join(args, " "), out)
 }
 
-// Up starts the stand-ins and all routers, submits the configuration and waits
-// until all routers are ready.
+// Up starts the stand-ins and all instances, submits the configuration and waits
+// until all instances are ready.
 func (f *Fleet) Up(ctx context.Context) error {
 	if err := f.StartStandins(ctx); err != nil {
 		return err
@@ -242,14 +251,15 @@
 	return f.WaitReady(ctx)
 }
 
-// Apply submits the layout's configuration and repeats it under one change id
-// while the fleet still starts.
+// Apply submits the layout's configuration and retries while the fleet is starting,
+// until the context ends. All retries use one change id, so that the change is
+// applied once.
 func (f *Fleet) Apply(ctx context.Context) error {
 	return f.poll(ctx, "configuration accepted", func() error {
-		if len(f.admins()) == 0 {
-			return errors.Wrap(errEnded, "every router")
+		if len(f.adminAddresses()) == 0 {
+			return errors.Wrap(errProcessExited, "all instances")
 		}
-		_, err := f.Ctl(ctx, "-change-id", "first-configuration", "apply", f.file("config.json"))
+		_, err := f.Ctl(ctx, "-change-id", "first-configuration", "apply", f.filePath("config.json"))
 		return err
 	})
 }
--- a/internal/fleetrun/fleetrun_test.go
+++ b/internal/fleetrun/fleetrun_test.go
@@ -14,8 +14,8 @@
 	"nutmegrouter/internal/standin"
 )
 
-// Guards against settings and configurations that the programs would refuse,
-// and against links that bypass the relay's addresses.
+// Guards against settings and stand-in files that the programs would refuse, and
+// against peers that are addressed directly instead of through their link.
 func TestPlanWritesValidFiles(t *testing.T) {
 	is := is.New(t)
 	links := 0
@@ -25,44 +25,44 @@
 	}})
 	is.NoErr(err)
 	is.Equal(links, 42)
-	own := map[string]bool{}
+	meshAddresses := map[string]bool{}
 	for _, r := range l.Routers {
-		own[r.Mesh] = true
+		meshAddresses[r.Mesh] = true
 	}
 	for _, r := range l.Routers {
 		s, err := settings.Load(r.File)
 		is.NoErr(err)
 		is.Equal(len(s.Replicas()), 3)
 		for _, p := range s.Peers {
-			is.Equal(own[p.Mesh], p.Instance == s.Instance) // others are reached through links
+			is.Equal(meshAddresses[p.Mesh], p.Instance == s.Instance) // peers are reached through links
 		}
 	}
-	specs, err := standin.LoadFile(l.file("standin.json"))
+	specs, err := standin.LoadFile(l.filePath("standin.json"))
 	is.NoErr(err)
 	is.Equal(len(specs), 14)
 	is.Equal(len(l.TargetAddresses(EnginePool, "dc-a")), 2)
 	is.Equal(len(l.TargetAddresses("", "")), 12)
 }
 
-// Guards against a process that is reported as running after its end, and
-// against signals that do not reach it.
+// Guards against a process that is reported as running after it exited, a second
+// process with the name of a running one, and signals that do not reach it.
 func TestProcess(t *testing.T) {
 	is := is.New(t)
 	var g proc.Group
 	start := func() (*proc.Process, error) { return proc.Launch("p", "/bin/sleep", t.TempDir()+"/log", "60") }
 	is.NoErr(g.Put("p", start))
-	is.True(g.Put("p", start) != nil) // it already runs
+	is.True(g.Put("p", start) != nil) // it is already running
 	p, err := g.Get("p")
 	is.NoErr(err)
 	is.NoErr(p.Signal(syscall.SIGTERM))
-	is.True(p.Wait(10*time.Second) != nil) // ended by a signal, not with code 0
+	is.True(p.Wait(10*time.Second) != nil) // exited by a signal, not with code 0
 	is.True(!p.Running())
 	is.True(p.Signal(syscall.SIGTERM) != nil)
 	is.NoErr(g.Put("p", start))
 	g.KillAll()
 }
 
-// Guards against an endless wait for something that never becomes true.
+// Guards against a poll that goes on after its context has ended.
 func TestPollEnds(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
@@ -71,7 +71,7 @@
 	is.True(f.poll(ctx, "x", func() error { return syscall.EAGAIN }) != nil)
 }
 
-// Guards against control traffic summed over the wrong lines of the metrics.
+// Guards against control traffic summed over lines of other metrics.
 func TestSumByMethod(t *testing.T) {
 	is := is.New(t)
 	text := "a{peer=\"1\",method=\"x\"} 2\na{peer=\"2\",method=\"x\"} 3.5\na{peer=\"2\",method=\"y\"} 1\nab{method=\"x\"} 100\n# a{ 7\n"
--- a/internal/fleetrun/layout.go
+++ b/internal/fleetrun/layout.go
@@ -15,7 +15,7 @@
 	"nutmegrouter/internal/standin"
 )
 
-// Names of the pools and of the model in every laid-out fleet.
+// Names of the pools, the model and its version in every generated fleet.
 const (
 	EnginePool  = "matcher"
 	ServicePool = "counter"
@@ -23,53 +23,56 @@
 	Version     = "v1"
 )
 
-// Options describe a fleet. Zero values mean the defaults.
+// Options describe a fleet. Zero values select the defaults.
 type Options struct {
-	// Dir holds settings, logs and data folders.
+	// Dir is the folder for settings, configuration, logs and data folders.
 	Dir string
-	// Bin holds the programs.
+	// Bin is the folder of the programs (see Build).
 	Bin string
 	// DataCentres default to dc-a to dc-d.
 	DataCentres []string
-	// Instances, Replicas, Engines, Services and Workspaces are numbers;
-	// 0 = 7, 3, 8, 4 and 16. Instances and targets are dealt to the data
-	// centres in turn.
+	// Instances, Replicas (instances with a data folder), Engines, Services and
+	// Workspaces are counts; 0 = 7, 3, 8, 4 and 16. Instances and targets are
+	// assigned to the data centres round robin.
 	Instances, Replicas, Engines, Services, Workspaces int
-	// Link returns the address at which one instance reaches another's mesh
-	// address, for a relay in between; nil = they address each other directly.
+	// Link returns the address of a relay through which instance from reaches
+	// target, the mesh address of instance to; nil = instances connect directly.
 	Link func(from, to, target string) (string, error)
-	// Engine and Service are templates of the targets.
+	// Engine and Service are the templates of the stand-ins of the two pools.
 	Engine, Service standin.Spec
-	// Pool adjusts both pools before the configuration is written.
+	// Pool, if set, is called for each pool before the configuration is written and
+	// may change it.
 	Pool func(*fleetconfig.Pool)
-	// Limits go into all settings files.
+	// Limits are written to the settings files of all instances.
 	Limits settings.Limits
 }
 
-// Instance is one router of the fleet.
+// Instance is one instance of the fleet, with its settings.
 type Instance struct {
 	settings.Settings
-	File string // settings file
+	File string // path of the settings file
 }
 
-// Workspace is one tenant and its key.
+// Workspace is one tenant with its bearer key and its configured weight.
 type Workspace struct {
 	Name, Key string
 	Weight    float64
 }
 
-// Layout is a fleet on paper: addresses, settings, stand-ins, configuration.
+// Layout holds the addresses, settings, stand-ins and configuration of a fleet.
 type Layout struct {
 	Options
 	Routers    []Instance
-	Specs      []standin.Spec // targets, then the platform's list and the weight store
+	Specs      []standin.Spec // targets, then the platform's instance list and the weight store
 	Config     *fleetconfig.Config
 	Workspaces []Workspace
-	Platform   string // address
-	Weights    string // address
+	Platform   string // address of the platform's instance list
+	Weights    string // address of the weight store
 }
 
-// Plan lays out a fleet and writes its files.
+// Plan assigns the addresses of a fleet and writes its settings, stand-in and
+// configuration files. It fails if too few ports are free or the configuration is
+// invalid.
 func Plan(o Options) (*Layout, error) {
 	l := &Layout{Options: o.withDefaults()}
 	steps := []func() error{l.planTargets, l.planRouters, l.planConfig, l.write}
@@ -86,18 +89,19 @@
 		o.DataCentres = []string{"dc-a", "dc-b", "dc-c", "dc-d"}
 	}
 	for _, d := range []struct {
-		field    *int
-		fallback int
+		field        *int
+		defaultValue int
 	}{{&o.Instances, 7}, {&o.Replicas, 3}, {&o.Engines, 8}, {&o.Services, 4}, {&o.Workspaces, 16},
 		{&o.Engine.WarmCapacity, 8}, {&o.Engine.ColdCapacity, 2}, {&o.Service.WarmCapacity, 16}, {&o.Service.ColdCapacity, 4}} {
 		if *d.field == 0 {
-			*d.field = d.fallback
+			*d.field = d.defaultValue
 		}
 	}
 	return o
 }
 
-func (o Options) dc(i int) string { return o.DataCentres[i%len(o.DataCentres)] }
+// dataCentreAt returns the data centre of the i-th instance or target of a kind.
+func (o Options) dataCentreAt(i int) string { return o.DataCentres[i%len(o.DataCentres)] }
 
 func (l *Layout) planTargets() error {
 	ports, err := freePorts(l.Engines + l.Services + 2)
@@ -115,11 +119,11 @@
 	for i := range l.Services {
 		add(l.Service, standin.KindService, fmt.Sprintf("service-%02d", i+1))
 	}
-	var list []standin.Instance
+	var listed []standin.Instance
 	for _, s := range l.Specs {
-		list = append(list, standin.Instance{Name: s.Name, Address: s.Listen, State: "live"})
+		listed = append(listed, standin.Instance{Name: s.Name, Address: s.Listen, State: "live"})
 	}
-	l.Platform = add(standin.Spec{Instances: list, ReportLagMs: 200}, standin.KindPlatform, "platform")
+	l.Platform = add(standin.Spec{Instances: listed, ReportLagMs: 200}, standin.KindPlatform, "platform")
 	l.Weights = add(standin.Spec{}, standin.KindWeights, "weights")
 	return nil
 }
@@ -130,7 +134,7 @@
 		return err
 	}
 	for i := range l.Instances {
-		s := settings.Settings{Instance: fmt.Sprintf("r%d", i+1), DataCentre: l.dc(i), Limits: l.Limits,
+		s := settings.Settings{Instance: fmt.Sprintf("r%d", i+1), DataCentre: l.dataCentreAt(i), Limits: l.Limits,
 			Listen: address(ports[3*i]), Admin: address(ports[3*i+1]), Mesh: address(ports[3*i+2]),
 			PlatformList: "http://" + l.Platform + "/instances", WeightStore: "http://" + l.Weights}
 		if i < l.Replicas {
@@ -146,7 +150,8 @@
 	return nil
 }
 
-// peersOf lists all instances at the addresses at which one reaches them.
+// peersOf returns all instances, with the mesh addresses at which the named one
+// reaches them.
 func (l *Layout) peersOf(name string) ([]settings.Peer, error) {
 	var out []settings.Peer
 	for _, r := range l.Routers {
@@ -188,9 +193,9 @@
 }
 
 func (l *Layout) addTargets(c *fleetconfig.Config) {
-	seen := map[standin.Kind]int{}
+	countByKind := map[standin.Kind]int{}
 	for _, s := range l.Specs {
-		t := fleetconfig.Target{Name: s.Name, Address: s.Listen, DataCentre: l.dc(seen[s.Kind]),
+		t := fleetconfig.Target{Name: s.Name, Address: s.Listen, DataCentre: l.dataCentreAt(countByKind[s.Kind]),
 			WarmCapacity: s.WarmCapacity, ColdCapacity: s.ColdCapacity, ChecksFence: s.ChecksFence}
 		switch s.Kind {
 		case standin.KindEngine:
@@ -200,34 +205,34 @@
 		default:
 			continue
 		}
-		seen[s.Kind]++
+		countByKind[s.Kind]++
 		c.Targets = append(c.Targets, t)
 	}
 }
 
 func (l *Layout) write() error {
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
-		return errors.Wrap(err, "write files")
+		return errors.Wrap(err, "write fleet files")
 	}
-	files := map[string]any{l.file("config.json"): l.Config, l.file("standin.json"): standin.File{Targets: l.Specs}}
+	files := map[string]any{l.filePath("config.json"): l.Config, l.filePath("standin.json"): standin.File{Targets: l.Specs}}
 	for _, r := range l.Routers {
 		files[r.File] = r.Settings
 	}
 	for name, v := range files {
 		raw, err := json.MarshalIndent(v, "", "  ")
 		if err != nil {
-			return errors.Wrap(err, "write files")
+			return errors.Wrap(err, "write fleet files")
 		}
 		if err := os.WriteFile(name, raw, 0o644); err != nil {
-			return errors.Wrap(err, "write files")
+			return errors.Wrap(err, "write fleet files")
 		}
 	}
 	return nil
 }
 
-func (l *Layout) file(name string) string { return filepath.Join(l.Dir, name) }
+func (l *Layout) filePath(name string) string { return filepath.Join(l.Dir, name) }
 
-// Router returns the instance with the name.
+// Router returns the instance with a name, or an error if there is none.
 func (l *Layout) Router(name string) (*Instance, error) {
 	for i := range l.Routers {
 		if l.Routers[i].Instance == name {
@@ -237,7 +242,7 @@
 	return nil, errors.Errorf("no instance %q", name)
 }
 
-// Target returns the stand-in with the name.
+// Target returns the stand-in with a name, or an error if there is none.
 func (l *Layout) Target(name string) (standin.Spec, error) {
 	for _, s := range l.Specs {
 		if s.Name == name {
@@ -247,8 +252,8 @@
 	return standin.Spec{}, errors.Errorf("no stand-in %q", name)
 }
 
-// TargetAddresses returns the addresses of the targets of a pool in a data
-// centre; "" means all.
+// TargetAddresses returns the addresses of the targets of a pool in a data centre;
+// "" means all pools or all data centres.
 func (l *Layout) TargetAddresses(pool, dc string) []string {
 	var out []string
 	for _, t := range l.Config.Targets {
@@ -259,7 +264,8 @@
 	return out
 }
 
-// Entries returns the callers' addresses and the readiness URLs of all routers.
+// Entries returns the caller-facing addresses and the readiness URLs of all
+// instances, in the same order.
 func (l *Layout) Entries() (entries, ready []string) {
 	for _, r := range l.Routers {
 		entries = append(entries, r.Listen)
--- a/internal/fleetrun/observe.go
+++ b/internal/fleetrun/observe.go
@@ -12,20 +12,21 @@
 	"nutmegrouter/internal/adminapi"
 )
 
-const sentBytesPrefix = "nutmeg_mesh_sent_bytes_total{"
+const meshBytesPrefix = "nutmeg_mesh_sent_bytes_total{"
 
-// Status asks one router for its status.
+// Status fetches the status of an instance from its admin address, within 1 s.
 func (f *Fleet) Status(ctx context.Context, name string) (adminapi.Status, error) {
 	r, err := f.Router(name)
 	if err != nil {
 		return adminapi.Status{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return (&adminapi.Client{Addresses: []string{r.Admin}}).Status(ctx)
 }
 
-// Owner waits until a running router is known as the owner of a pool.
+// Owner waits until the status of any instance names a running instance as the
+// owner of the pool and returns that owner's name. It fails if the context ends.
 func (f *Fleet) Owner(ctx context.Context, pool string) (owner string, err error) {
 	err = f.poll(ctx, "owner of "+pool, func() error {
 		for _, r := range f.Routers {
@@ -40,15 +41,15 @@
 				}
 			}
 		}
-		return errors.New("no router names one that runs")
+		return errors.New("no instance reports a running owner")
 	})
 	return owner, err
 }
 
-// Traffic is the number of bytes sent to other routers by method.
+// Traffic is the number of bytes sent to other instances by mesh method.
 type Traffic map[string]float64
 
-// Total sums all methods.
+// Total returns the bytes of all methods.
 func (t Traffic) Total() (sum float64) {
 	for _, v := range t {
 		sum += v
@@ -56,15 +57,17 @@
 	return sum
 }
 
-// MeshBytes returns what each running router has sent to others.
+// MeshBytes returns the bytes that each running instance has sent to others since
+// its start, by instance name.
 func (f *Fleet) MeshBytes(ctx context.Context) (map[string]Traffic, error) {
 	out := map[string]Traffic{}
-	err := f.eachMetrics(ctx, func(name, text string) { out[name] = sumByMethod(text, sentBytesPrefix) })
+	err := f.scrapeEach(ctx, func(name, text string) { out[name] = sumByMethod(text, meshBytesPrefix) })
 	return out, err
 }
 
-func get(ctx context.Context, url string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+// httpGet returns the body of a GET response, whatever its status.
+func httpGet(ctx context.Context, url string) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -79,8 +82,8 @@
 	return string(text), errors.Wrap(err, "get")
 }
 
-// sumByMethod sums the values of the lines that begin with a prefix by their
-// label "method".
+// sumByMethod sums the values of the metric lines that start with a prefix, grouped
+// by their label "method".
 func sumByMethod(text, prefix string) Traffic {
 	out := Traffic{}
 	for _, line := range strings.Split(text, "\n") {
--- a/internal/fleetrun/ports.go
+++ b/internal/fleetrun/ports.go
@@ -9,43 +9,44 @@
 	"github.com/pkg/errors"
 )
 
-// Ports are taken from below the range of outgoing connections, so that none of
-// those can take the port of a process that is down for a while.
+// Ports are below the ephemeral range, so that no outgoing connection can occupy
+// the port of a process that is stopped for a while.
 const (
 	firstPort = 10000
 	lastPort  = 30000
 )
 
-var taken = struct {
+// portAllocator holds the next candidate and the ports already returned.
+var portAllocator = struct {
 	sync.Mutex
-	next  int
-	ports map[int]bool
-}{next: firstPort + rand.IntN(lastPort-firstPort), ports: map[int]bool{}}
+	next     int
+	reserved map[int]bool
+}{next: firstPort + rand.IntN(lastPort-firstPort), reserved: map[int]bool{}}
 
-// freePorts returns n loopback ports that nobody listens on and that were not
-// returned before by this process.
+// freePorts returns n loopback ports that are not in use and that this process has
+// not returned before.
 func freePorts(n int) ([]int, error) {
-	taken.Lock()
-	defer taken.Unlock()
+	portAllocator.Lock()
+	defer portAllocator.Unlock()
 	var out []int
-	for tries := 0; len(out) < n; tries++ {
-		if tries > lastPort-firstPort {
+	for tried := 0; len(out) < n; tried++ {
+		if tried > lastPort-firstPort {
 			return nil, errors.New("no free ports")
 		}
-		p := taken.next
-		if taken.next++; taken.next >= lastPort {
-			taken.next = firstPort
+		p := portAllocator.next
+		if portAllocator.next++; portAllocator.next >= lastPort {
+			portAllocator.next = firstPort
 		}
-		if taken.ports[p] || !free(p) {
+		if portAllocator.reserved[p] || !canListen(p) {
 			continue
 		}
-		taken.ports[p] = true
+		portAllocator.reserved[p] = true
 		out = append(out, p)
 	}
 	return out, nil
 }
 
-func free(port int) bool {
+func canListen(port int) bool {
 	l, err := net.Listen("tcp", address(port))
 	if err != nil {
 		return false
--- a/internal/loadgen/check.go
+++ b/internal/loadgen/check.go
@@ -12,18 +12,20 @@
 	"nutmegrouter/internal/standin"
 )
 
-const fetchLimit = 20 * time.Second
+const fetchTimeout = 20 * time.Second
 
-// Evidence is what the targets recorded.
+// Evidence holds the targets' own records of the work that they ran.
 type Evidence struct {
-	Stats map[string]standin.Stats // by address
-	// Starts counts the starts of work by request tag over all targets.
+	Stats map[string]standin.Stats // by target address
+	// Starts counts the starts of work by request tag, summed over all targets.
 	Starts map[string]int
-	// Dropped counts starts that a bounded table could not take.
+	// Dropped counts starts that are missing in Starts, because a target's bounded
+	// table was full.
 	Dropped uint64
 }
 
-// Collect asks all targets.
+// Collect fetches the records of the targets at the addresses. It fails on the
+// first target that cannot be read within 20 s per request.
 func Collect(ctx context.Context, targets []string) (*Evidence, error) {
 	ev := &Evidence{Stats: map[string]standin.Stats{}, Starts: map[string]int{}}
 	for _, addr := range targets {
@@ -44,8 +46,9 @@
 	return ev, nil
 }
 
+// fetch decodes the JSON document at a URL into v.
 func fetch(ctx context.Context, url string, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -59,7 +62,8 @@
 	return errors.Wrapf(json.NewDecoder(resp.Body).Decode(v), "fetch %s", url)
 }
 
-// Breaches sums the breaches of all targets.
+// Breaches returns the number of requests, over all targets, that arrived while the
+// target had no free capacity.
 func (e *Evidence) Breaches() (n uint64) {
 	for _, s := range e.Stats {
 		n += s.Breaches
@@ -67,8 +71,9 @@
 	return n
 }
 
-// Utilisation returns busy over present slots of the targets of a kind since
-// the evidence before; nil means since the targets started.
+// Utilisation returns the fraction of the slots of all targets of a kind that was
+// busy since an earlier collection; nil means since the targets started. It
+// returns 0 if there were no slots.
 func (e *Evidence) Utilisation(kind standin.Kind, before *Evidence) float64 {
 	var busy, slots float64
 	for addr, s := range e.Stats {
@@ -86,7 +91,8 @@
 	return busy / slots
 }
 
-// StartsAfter counts the recorded starts of work at an address after a time.
+// StartsAfter returns the number of starts of work at a target after a time, with a
+// resolution of 1 ms. Targets record a bounded number of their newest starts.
 func (e *Evidence) StartsAfter(addr string, after time.Time) (n int) {
 	for _, ms := range e.Stats[addr].StartsMs {
 		if ms > after.UnixMilli() {
@@ -96,8 +102,9 @@
 	return n
 }
 
-// LongestPause returns the longest time without a start of work at any of the
-// addresses between two times, and the number of starts.
+// LongestPause returns the longest interval without a start of work at any of the
+// addresses, and the number of starts, between two times. Intervals begin at from
+// or at a start and end at a start; the time after the last start does not count.
 func (e *Evidence) LongestPause(addresses []string, from, to time.Time) (time.Duration, int) {
 	times := []int64{from.UnixMilli()}
 	for _, addr := range addresses {
@@ -108,9 +115,9 @@
 		}
 	}
 	slices.Sort(times)
-	worst := time.Duration(0)
+	longest := time.Duration(0)
 	for i := range times[1:] {
-		worst = max(worst, time.Duration(times[i+1]-times[i])*time.Millisecond)
+		longest = max(longest, time.Duration(times[i+1]-times[i])*time.Millisecond)
 	}
-	return worst, len(times) - 1
+	return longest, len(times) - 1
 }
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -18,69 +18,70 @@
 	"nutmegrouter/internal/standin"
 )
 
-// Verdict is what became of a request, as its caller sees it.
+// Verdict classifies the outcome of a request as its caller sees it.
 type Verdict int
 
 // Verdicts.
 const (
 	// Whole means that every byte of the caller's own response arrived.
 	Whole Verdict = iota
-	// Refused means a rejection that says "not run".
+	// Refused means a rejection that states that the request did not run.
 	Refused
-	// Unknown means a rejection that says that the outcome is unknown.
+	// Unknown means a rejection that states that the outcome is unknown.
 	Unknown
-	// Broken means a stream that ended with an explicit error event.
+	// Broken means a response stream that ended with an explicit error event.
 	Broken
-	// Lost means no response, a truncated one or an unexplained error.
+	// Lost means no response, a truncated response or an error that does not state
+	// whether the request ran.
 	Lost
-	// Wrong means bytes that do not belong to the request.
+	// Wrong means that the response has bytes that differ from the expected ones.
 	Wrong
 )
 
-// attempt is the outcome of one send.
+// attempt is the outcome of one send to an entry instance or target.
 type attempt struct {
 	verdict    Verdict
-	code       string // code of the rejection or text of the error
-	unsent     bool   // the request never left the client
-	retryAfter time.Duration
+	code       string        // HTTP status and error of a rejection, or error text
+	notSent    bool          // the request never left the client
+	retryAfter time.Duration // from the response header; 0 = none
 	firstByte  time.Time
-	gaps       []time.Duration
+	gaps       []time.Duration // times between events after the first read
 }
 
 const (
-	maxConns     = 1 << 16
-	idleConn     = 5 * time.Second
-	dialLimit    = 2 * time.Second
-	readSize     = 32 << 10
-	maxErrorBody = 64 << 10
+	maxConnsPerHost   = 1 << 16
+	idleConnTimeout   = 5 * time.Second
+	dialTimeout       = 2 * time.Second
+	readBufferBytes   = 32 << 10
+	maxErrorBodyBytes = 64 << 10
 )
 
-// sender sends requests to entries or, without a router, to targets.
+// sender sends requests to entry instances or, for a direct plan, to targets.
 type sender struct {
-	plan  *Plan
-	limit time.Duration
-	next  atomic.Uint64
+	plan        *Plan
+	readTimeout time.Duration
+	nextDirect  atomic.Uint64
 
-	mu    sync.Mutex
-	hosts map[string]*fasthttp.HostClient
-	// slots holds the free slots of the direct targets by pool.
-	slots map[string]chan string
+	mu      sync.Mutex
+	clients map[string]*fasthttp.HostClient
+	// freeSlots holds, by pool, the address of a direct target once per free slot.
+	freeSlots map[string]chan string
 }
 
 func newSender(p *Plan) *sender {
-	s := &sender{plan: p, limit: p.Timeout, hosts: map[string]*fasthttp.HostClient{}}
-	if s.limit == 0 {
-		s.limit = time.Minute
+	s := &sender{plan: p, readTimeout: p.Timeout, clients: map[string]*fasthttp.HostClient{}}
+	if s.readTimeout == 0 {
+		s.readTimeout = time.Minute
 	}
 	if p.DirectSlots > 0 {
-		s.fillSlots()
+		s.initSlots()
 	}
 	return s
 }
 
-// fillSlots offers the slots of the direct targets in turn.
-func (s *sender) fillSlots() {
-	s.slots = map[string]chan string{}
+// initSlots marks all slots of the direct targets as free, in round-robin order.
+func (s *sender) initSlots() {
+	s.freeSlots = map[string]chan string{}
 	for pool, list := range s.plan.Direct {
 		c := make(chan string, s.plan.DirectSlots*len(list))
 		for range s.plan.DirectSlots {
@@ -88,59 +89,61 @@
 				c <- addr
 			}
 		}
-		s.slots[pool] = c
+		s.freeSlots[pool] = c
 	}
 }
 
-// take waits for the address to send a job to and returns a function that frees
-// its slot.
-func (s *sender) take(j *Job, entry func() int) (addr string, free func()) {
-	if c := s.slots[j.Kind.Pool]; c != nil {
+// acquireAddr returns the address to send a job to and a function that releases
+// its slot. It blocks while all slots of a direct pool are in use.
+func (s *sender) acquireAddr(j *Job, entry func() int) (addr string, release func()) {
+	if c := s.freeSlots[j.Kind.Pool]; c != nil {
 		addr := <-c
 		return addr, func() { c <- addr }
 	}
 	if list := s.plan.Direct[j.Kind.Pool]; len(list) > 0 {
-		return list[s.next.Add(1)%uint64(len(list))], func() {}
+		return list[s.nextDirect.Add(1)%uint64(len(list))], func() {}
 	}
 	return s.plan.Entries[entry()], func() {}
 }
 
-func (s *sender) host(addr string) *fasthttp.HostClient {
+// client returns the HTTP client for an address and creates it on first use.
+func (s *sender) client(addr string) *fasthttp.HostClient {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.hosts[addr]
+	h := s.clients[addr]
 	if h == nil {
 		h = &fasthttp.HostClient{
-			Addr: addr, MaxConns: maxConns, MaxIdleConnDuration: idleConn, StreamResponseBody: true,
+			Addr: addr, MaxConns: maxConnsPerHost, MaxIdleConnDuration: idleConnTimeout, StreamResponseBody: true,
 			MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			Dial:       s.dial,
 		}
-		s.hosts[addr] = h
+		s.clients[addr] = h
 	}
 	return h
 }
 
+// errDial marks errors of requests that never left the client.
 var errDial = errors.New("dial")
 
 func (s *sender) dial(addr string) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", addr, dialLimit)
+	c, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return nil, errors.Wrap(errDial, err.Error())
 	}
-	return &deadlineConn{Conn: c, limit: s.limit}, nil
+	return &deadlineConn{Conn: c, readTimeout: s.readTimeout}, nil
 }
 
-// deadlineConn bounds each read, because fasthttp's own timeouts would bound
-// the whole streamed response.
+// deadlineConn sets a deadline for each read, because fasthttp's own timeouts
+// would bound the whole streamed response.
 type deadlineConn struct {
 	net.Conn
-	limit time.Duration
+	readTimeout time.Duration
 }
 
 // Read implements net.Conn.
 func (c *deadlineConn) Read(p []byte) (int, error) {
-	if err := c.Conn.SetReadDeadline(time.Now().Add(c.limit)); err != nil {
+	if err := c.Conn.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
@@ -149,29 +152,30 @@
 func (s *sender) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.hosts {
+	for _, h := range s.clients {
 		h.CloseIdleConnections()
 	}
 }
 
-// send makes one attempt at the address.
+// send makes one attempt at an address and reads and checks the whole response.
 func (s *sender) send(ctx context.Context, j *Job, addr string, body []byte) attempt {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	s.fill(req, j, addr, body)
-	h := s.host(addr)
+	s.fillRequest(req, j, addr, body)
+	h := s.client(addr)
 	if err := h.Do(req, resp); err != nil {
-		return attempt{verdict: Lost, code: err.Error(), unsent: errors.Is(err, errDial)}
+		return attempt{verdict: Lost, code: err.Error(), notSent: errors.Is(err, errDial)}
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return readRejection(resp)
 	}
-	return checkBody(ctx, resp, expected(j, body))
+	return checkBody(ctx, resp, expectedBody(j, body))
 }
 
-func (s *sender) fill(req *fasthttp.Request, j *Job, addr string, body []byte) {
+// fillRequest sets the method, URL, headers and body of the request for a job.
+func (s *sender) fillRequest(req *fasthttp.Request, j *Job, addr string, body []byte) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + addr + j.path(s.plan.Direct != nil))
 	req.Header.SetContentType("application/json")
@@ -188,15 +192,17 @@
 	req.SetBody(body)
 }
 
-func expected(j *Job, body []byte) []byte {
+// expectedBody returns the response body that a target sends for a job.
+func expectedBody(j *Job, body []byte) []byte {
 	if j.Kind.Engine() {
 		return standin.StreamBody(body, j.Size)
 	}
 	return standin.ServiceBody(body, 256)
 }
 
+// readRejection classifies a response whose status is not 200 by its X-Run header.
 func readRejection(resp *fasthttp.Response) attempt {
-	text, _ := io.ReadAll(io.LimitReader(resp.BodyStream(), maxErrorBody))
+	text, _ := io.ReadAll(io.LimitReader(resp.BodyStream(), maxErrorBodyBytes))
 	a := attempt{verdict: Lost, code: strconv.Itoa(resp.StatusCode()) + " " + errorText(text)}
 	switch string(resp.Header.Peek("X-Run")) {
 	case "not-run":
@@ -210,11 +216,13 @@
 	return a
 }
 
-// errorEvent begins the event by which a router ends a broken stream.
+// errorEvent is the start of the event with which an entry instance ends a broken
+// stream.
 var errorEvent = []byte("event: error\ndata: ")
 
-// errorText returns the code and the message of an error without the parts that
-// differ for each request.
+// errorText returns the step, code and message of an error document, without the
+// fields that differ for each request, so that equal errors can be counted. A body
+// that is no error document is returned as it is.
 func errorText(raw []byte) string {
 	var e struct {
 		Error struct{ Code, Message, Step string }
@@ -225,10 +233,11 @@
 	return e.Error.Step + ": " + e.Error.Code + ": " + e.Error.Message
 }
 
-// checkBody compares a response with the expected bytes as they arrive.
+// checkBody reads a response, compares it with the expected bytes as they arrive
+// and records when they arrived.
 func checkBody(ctx context.Context, resp *fasthttp.Response, want []byte) (a attempt) {
-	buf := make([]byte, readSize)
-	last := time.Time{}
+	buf := make([]byte, readBufferBytes)
+	lastRead := time.Time{}
 	for off := 0; ; {
 		n, err := resp.BodyStream().Read(buf)
 		if n > 0 {
@@ -240,8 +249,8 @@
 				}
 				return a
 			}
-			a.note(now, last, bytes.Count(buf[:n], []byte("\n\n")))
-			last = now
+			a.recordRead(now, lastRead, bytes.Count(buf[:n], []byte("\n\n")))
+			lastRead = now
 			off += n
 		}
 		switch {
@@ -257,42 +266,45 @@
 	}
 }
 
-// shownBytes is how much of a difference an error shows.
-const shownBytes = 60
+// excerptBytes is the length of the excerpts of both bodies in an error text.
+const excerptBytes = 60
 
-// differenceText shows the first byte that differs, with a little context.
+// differenceText describes the first byte at which got differs from want, with an
+// excerpt of both. got was read at offset off of the body.
 func differenceText(want, got []byte, off int) string {
 	i := 0
 	for i < len(got) && off+i < len(want) && got[i] == want[off+i] {
 		i++
 	}
-	cut := func(b []byte, from int) []byte { return b[min(from, len(b)):min(from+shownBytes, len(b))] }
-	return fmt.Sprintf("wrong bytes at %d of %d: got %q, want %q", off+i, len(want), cut(got, max(0, i-20)), cut(want, max(0, off+i-20)))
+	excerpt := func(b []byte, from int) []byte { return b[min(from, len(b)):min(from+excerptBytes, len(b))] }
+	return fmt.Sprintf("wrong bytes at %d of %d: got %q, want %q", off+i, len(want), excerpt(got, max(0, i-20)), excerpt(want, max(0, off+i-20)))
 }
 
-// note records the time of a read that brought a number of events.
-func (a *attempt) note(now, last time.Time, events int) {
-	if last.IsZero() {
+// recordRead records the arrival time of the first read, and the time per event
+// since the previous read for each later one.
+func (a *attempt) recordRead(now, previous time.Time, events int) {
+	if previous.IsZero() {
 		a.firstByte = now
 		return
 	}
 	for range events {
-		a.gaps = append(a.gaps, now.Sub(last)/time.Duration(events))
+		a.gaps = append(a.gaps, now.Sub(previous)/time.Duration(events))
 	}
 }
 
-// Send makes one attempt at one job and returns what became of it.
+// Send makes one attempt at a job at an address and returns its verdict and, unless
+// that is Whole, the error text. A failed connect counts as Refused.
 func (p *Plan) Send(ctx context.Context, j *Job, addr string) (Verdict, string) {
 	s := newSender(p)
 	defer s.close()
 	a := s.send(ctx, j, addr, j.Body())
-	if a.unsent {
+	if a.notSent {
 		a.verdict = Refused
 	}
 	return a.verdict, a.code
 }
 
-// String names a verdict.
+// String returns the name of a verdict in lower case.
 func (v Verdict) String() string {
 	return [...]string{"whole", "refused", "unknown", "broken", "lost", "wrong"}[v]
 }
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -2,7 +2,8 @@
 // for baselines, for targets called directly.
 //
 // Arrivals follow a Poisson process and do not wait for responses; latencies
-// count from the planned arrival. Every response is checked byte by byte against
-// the request (package standin derives responses from requests), and after the
-// run the targets' own records show doubled, lost and falsely refused work.
+// are measured from the planned arrival. Every response is compared byte by byte
+// with the one that package standin derives from the request. After the run, the
+// targets' own records reveal requests that ran more than once and requests that
+// ran although they were refused as "not run".
 package loadgen
--- a/internal/loadgen/fair.go
+++ b/internal/loadgen/fair.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// MaxMin returns the max-min fair division of a total: nobody gets more than
-// its demand, and what one does not use goes to the others by weight.
+// MaxMin returns the weighted max-min fair shares of a total, by participant. No
+// share exceeds its demand; what a participant does not use is divided among the
+// others in proportion to their weights. All values have the unit of the total.
 func MaxMin(total float64, demand, weight []float64) []float64 {
-	out := make([]float64, len(demand))
-	full := make([]bool, len(demand))
-	for left := total; left > 0; {
-		sum := 0.0
+	allocation := make([]float64, len(demand))
+	satisfied := make([]bool, len(demand))
+	for remaining := total; remaining > 0; {
+		weightSum := 0.0
 		for i := range demand {
-			if !full[i] {
-				sum += weight[i]
+			if !satisfied[i] {
+				weightSum += weight[i]
 			}
 		}
-		if sum == 0 {
-			return out
+		if weightSum == 0 {
+			return allocation
 		}
-		given, filled := 0.0, false
+		allocated, anySatisfied := 0.0, false
 		for i := range demand {
-			if full[i] {
+			if satisfied[i] {
 				continue
 			}
-			part := left * weight[i] / sum
-			if out[i]+part >= demand[i] {
-				part, full[i], filled = demand[i]-out[i], true, true
+			share := remaining * weight[i] / weightSum
+			if allocation[i]+share >= demand[i] {
+				share, satisfied[i], anySatisfied = demand[i]-allocation[i], true, true
 			}
-			out[i] += part
-			given += part
+			allocation[i] += share
+			allocated += share
 		}
-		if left -= given; !filled {
-			return out
+		if remaining -= allocated; !anySatisfied {
+			return allocation
 		}
 	}
-	return out
+	return allocation
 }
 
-// shares fills Share and Fair of each row for the pool with the most service.
-func (out *Report) shares(p *Plan) {
+// fillShares sets Share and Fair of each row, for the pool with the most service.
+func (rep *Report) fillShares(p *Plan) {
 	totals := map[string]float64{}
-	for _, r := range out.Rows {
+	for _, r := range rep.Rows {
 		for pool, s := range r.Service {
 			totals[pool] += s
 		}
@@ -50,83 +51,89 @@
 			pool = name
 		}
 	}
-	demand, weight := make([]float64, len(out.Rows)), make([]float64, len(out.Rows))
-	for i, r := range out.Rows {
+	demand, weight := make([]float64, len(rep.Rows)), make([]float64, len(rep.Rows))
+	for i, r := range rep.Rows {
 		demand[i], weight[i] = r.Offered[pool], p.Workspaces[i].Weight
 	}
 	fair := MaxMin(totals[pool], demand, weight)
-	for i := range out.Rows {
+	for i := range rep.Rows {
 		if t := totals[pool]; t > 0 {
-			out.Rows[i].Share, out.Rows[i].Fair = out.Rows[i].Service[pool]/t, fair[i]/t
+			rep.Rows[i].Share, rep.Rows[i].Fair = rep.Rows[i].Service[pool]/t, fair[i]/t
 		}
 	}
 }
 
-// Series is a value of each workspace over time.
+// Series is a value of each workspace per time step since the start of the run.
 type Series struct {
 	Step   time.Duration
-	Values [][]float64 // by step, then workspace
+	Values [][]float64 // by step, then by workspace index
 }
 
-// Responses returns the whole responses of a workspace in each step.
-func (r *Run) Responses(step time.Duration) Series { return r.series(step, "", false) }
+// Responses returns the number of whole responses of each workspace, by the step in
+// which they ended.
+func (r *Run) Responses(step time.Duration) Series { return r.sumPerStep(step, "", false) }
 
-// Service returns the completed cost in a pool in each step.
-func (r *Run) Service(step time.Duration, pool string) Series { return r.series(step, pool, true) }
+// Service returns the cost of the whole responses of each workspace in a pool, in
+// cost units (see Job.Cost), by the step in which they ended.
+func (r *Run) Service(step time.Duration, pool string) Series { return r.sumPerStep(step, pool, true) }
 
-func (r *Run) series(step time.Duration, pool string, cost bool) Series {
+// sumPerStep counts whole responses, or sums their cost, per step and workspace; an
+// empty pool means all pools.
+func (r *Run) sumPerStep(step time.Duration, pool string, cost bool) Series {
 	s := Series{Step: step}
 	for i := range r.Records {
 		rec := &r.Records[i]
 		if rec.Skipped || rec.Verdict != Whole || (pool != "" && rec.Job.Kind.Pool != pool) {
 			continue
 		}
-		at := int(rec.Ended / step)
-		for len(s.Values) <= at {
+		index := int(rec.Ended / step)
+		for len(s.Values) <= index {
 			s.Values = append(s.Values, make([]float64, len(r.Plan.Workspaces)))
 		}
-		add := 1.0
+		amount := 1.0
 		if cost {
-			add = rec.Job.Cost()
+			amount = rec.Job.Cost()
 		}
-		s.Values[at][rec.Job.Workspace] += add
+		s.Values[index][rec.Job.Workspace] += amount
 	}
 	return s
 }
 
-// Gap returns, for each step, the largest difference of service per weight
-// between two of the named workspaces since the start of the run, and the
-// smallest service per weight among them.
-func (s Series) Gap(workspaces []int, weight []float64) (gap, least []float64) {
-	sums := make([]float64, len(weight))
+// Gap returns two values for each step, both of the service per weight that the
+// workspaces with the given indices received from the start of the run to the end
+// of the step: the difference between the largest and the smallest, and the
+// smallest. weight has an entry for every workspace of the series.
+func (s Series) Gap(workspaces []int, weight []float64) (gap, smallest []float64) {
+	service := make([]float64, len(weight))
 	for _, step := range s.Values {
 		for w, v := range step {
-			sums[w] += v / weight[w]
+			service[w] += v / weight[w]
 		}
-		low, high := sums[workspaces[0]], sums[workspaces[0]]
+		lowest, highest := service[workspaces[0]], service[workspaces[0]]
 		for _, w := range workspaces {
-			low, high = min(low, sums[w]), max(high, sums[w])
+			lowest, highest = min(lowest, service[w]), max(highest, service[w])
 		}
-		gap, least = append(gap, high-low), append(least, low)
+		gap, smallest = append(gap, highest-lowest), append(smallest, lowest)
 	}
-	return gap, least
+	return gap, smallest
 }
 
-// Waiting returns how many requests of a workspace wait for the start of their
-// response at each step between two times.
+// Waiting returns the backlog of a workspace, sampled once per step between two
+// times since the start of the run: the number of requests that had arrived but
+// not received their first byte. Only requests with a whole response count.
 func (r *Run) Waiting(workspace int, from, to, step time.Duration) []int {
-	out := make([]int, (to-from)/step)
+	waiting := make([]int, (to-from)/step)
 	for i := range r.Records {
 		rec := &r.Records[i]
 		if rec.Job.Workspace != workspace || rec.Skipped || rec.Verdict != Whole {
 			continue
 		}
-		for n := max(0, (rec.Job.At-from+step-1)/step); n < time.Duration(len(out)); n++ {
+		for n := max(0, (rec.Job.At-from+step-1)/step); n < time.Duration(len(waiting)); n++ {
 			if from+n*step >= rec.Job.At+rec.FirstToken {
 				break
 			}
-			out[n]++
+			waiting[n]++
 		}
 	}
-	return out
+	return waiting
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -12,7 +12,8 @@
 	"nutmegrouter/internal/standin"
 )
 
-func plan(direct map[string][]string) *Plan {
+// testPlan returns a plan of 1 s with two workspaces and the standard kinds.
+func testPlan(direct map[string][]string) *Plan {
 	return &Plan{
 		Seed: 7, Rate: 300, Duration: time.Second, Direct: direct, Entries: []string{"unused"},
 		Workspaces: []Workspace{{Name: "a", Weight: 1, Share: 2}, {Name: "b", Weight: 1, Share: 1}},
@@ -20,11 +21,11 @@
 	}
 }
 
-// Guards against a run that cannot be repeated from its seed, and against
-// arrivals that miss the rate by far.
+// Guards against a plan that does not generate the same jobs again from its seed,
+// and against an arrival rate that differs from the planned one.
 func TestJobsAreSeeded(t *testing.T) {
 	is := is.New(t)
-	a, b := plan(nil), plan(nil)
+	a, b := testPlan(nil), testPlan(nil)
 	is.Equal(len(a.Jobs()), len(b.Jobs()))
 	ja, jb := a.Jobs(), b.Jobs()
 	for i := range ja {
@@ -36,8 +37,8 @@
 	is.True(b.Jobs()[0].At != ja[0].At)
 }
 
-// Guards against a generator that reports whole responses as lost, or lost,
-// doubled and falsely refused ones as whole.
+// Guards against a generator that reports whole responses as lost, or that misses
+// lost responses and doubled or falsely refused requests.
 func TestVerdicts(t *testing.T) {
 	is := is.New(t)
 	h, err := standin.Start([]standin.Spec{
@@ -47,7 +48,7 @@
 	is.NoErr(err)
 	defer h.Close()
 	addr := h.Addresses()
-	p := plan(map[string][]string{"llm": addr[:1], "svc": addr[1:]})
+	p := testPlan(map[string][]string{"llm": addr[:1], "svc": addr[1:]})
 	r := New(p)
 	r.Do(context.Background())
 	ev, err := Collect(context.Background(), addr)
@@ -57,7 +58,7 @@
 	is.True(rep.Clean())
 	is.True(rep.First["long"].TotalCount() > 0 && rep.Gap["long"].TotalCount() > 0)
 
-	// The same requests again: each keyed call now has run twice.
+	// The same requests again: each keyed call has now run twice.
 	r = New(p)
 	r.Do(context.Background())
 	ev, err = Collect(context.Background(), addr)
@@ -68,8 +69,8 @@
 	rec.Verdict, rec.AllNotRun = Refused, true
 	is.Equal(r.Report(ev).Total.FalselyRefused, 1)
 
-	// A target that restarts in the middle cuts streams.
-	time.AfterFunc(300*time.Millisecond, func() { fault(t, addr[0], `{"fault":"die"}`) })
+	// A target that restarts during the run truncates streams.
+	time.AfterFunc(300*time.Millisecond, func() { injectFault(t, addr[0], `{"fault":"die"}`) })
 	p.Seed = 9
 	r = New(p)
 	r.Do(context.Background())
@@ -78,7 +79,8 @@
 	is.Equal(rep.Total.Wrong, 0)
 }
 
-// Guards against a wrong fair share of workspaces that ask for less than theirs.
+// Guards against wrong max-min fair shares when a workspace asks for less than its
+// share.
 func TestMaxMin(t *testing.T) {
 	is := is.New(t)
 	is.Equal(MaxMin(90, []float64{10, 100, 100}, []float64{1, 1, 1}), []float64{10, 40, 40})
@@ -86,8 +88,8 @@
 	is.Equal(MaxMin(90, []float64{10, 20}, []float64{1, 1}), []float64{10, 20})
 }
 
-// Guards against a load balancer that sends to an entry that is not ready, or
-// again to the entry that just refused.
+// Guards against a load balancer that selects an entry that is not ready, or
+// retries at the entry of the failed attempt.
 func TestBalancerChoose(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(&Plan{Entries: []string{"a", "b", "c"}}, nil)
@@ -100,14 +102,15 @@
 	is.Equal(b.choose(1, 0), 1)
 }
 
-func fault(t *testing.T, addr, body string) {
+func injectFault(t *testing.T, addr, body string) {
 	t.Helper()
 	if err := standin.Inject(addr, body); err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against a workspace that counts as backlogged while nothing waits.
+// Guards against a backlog that includes requests before their arrival or after
+// their first byte, or requests of other workspaces.
 func TestWaiting(t *testing.T) {
 	is := is.New(t)
 	r := &Run{Records: []Record{
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -12,39 +12,44 @@
 	"nutmegrouter/internal/standin"
 )
 
-// Row counts the requests of one workspace.
+// Row holds the request counts and the service of one workspace.
 type Row struct {
 	Workspace string
 	Sent      int
 	Whole     int
-	// Refused counts rejections that say "not run"; FalselyRefused those of
-	// them that a target did run.
+	// Refused counts requests rejected as "not run". FalselyRefused counts those of
+	// them that a target ran, although each attempt was rejected as "not run" or
+	// never left the client.
 	Refused, FalselyRefused int
 	Unknown                 int
 	Broken                  int
 	Lost                    int
 	Wrong                   int
-	// Doubled counts non-idempotent requests that ran more than once.
+	// Doubled counts requests with an idempotency key that ran more than once.
 	Doubled int
-	Skipped int
-	// Service is the completed cost in cost units by pool; Offered the sent one.
+	Skipped int // not sent by the generator
+	// Service is the cost of whole responses by pool, Offered that of all sent
+	// requests, both in cost units (see Job.Cost).
 	Service, Offered map[string]float64
-	// Share and Fair are the parts of all service in the dominant pool.
+	// Share is the fraction of the service in the pool with the most service that
+	// this workspace received; Fair is its max-min fair share as a fraction.
 	Share, Fair float64
 }
 
-// Report is the result of a run.
+// Report is the evaluation of a run.
 type Report struct {
-	Rows  []Row
+	Rows  []Row // by workspace index
 	Total Row
-	// First and Gap are histograms in microseconds by kind of request.
+	// First, Gap and Took are histograms in µs by kind of request, for whole
+	// responses: the time from the planned arrival to the first byte, the time
+	// between two events, and the time from the planned arrival to the end.
 	First, Gap, Took map[string]*hdrhistogram.Histogram
-	// Codes counts the codes and errors of requests that were not whole.
+	// Codes counts requests without a whole response by error text.
 	Codes map[string]int
 }
 
-// Cost returns the true cost of a job: tokens and a tenth of the prompt tokens
-// for engines, ms of service time for plain services.
+// Cost returns the true cost of a job in cost units. One unit is a response token
+// or ten prompt tokens for engines, and 1 ms of service time for plain services.
 func (j *Job) Cost() float64 {
 	if !j.Kind.Engine() {
 		return float64(j.Size)
@@ -53,38 +58,41 @@
 }
 
 const (
-	histMin    = 1
-	histMax    = 10 * 60 * 1000 * 1000 // µs
-	histDigits = 3
-	maxCode    = 240 // characters of an error kept in the report
+	histMinMicros         = 1
+	histMaxMicros         = 10 * 60 * 1000 * 1000 // 10 min
+	histSignificantDigits = 3
+	maxCodeBytes          = 240 // longer error texts are cut in the report
 )
 
-func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(histMin, histMax, histDigits) }
+func newHist() *hdrhistogram.Histogram {
+	return hdrhistogram.New(histMinMicros, histMaxMicros, histSignificantDigits)
+}
 
-// Report evaluates the run. Without evidence doubled and falsely refused
-// requests cannot be counted.
+// Report evaluates the run. Evidence may be nil; doubled and falsely refused
+// requests are then not counted.
 func (r *Run) Report(ev *Evidence) *Report {
-	out := &Report{First: map[string]*hdrhistogram.Histogram{}, Gap: map[string]*hdrhistogram.Histogram{},
+	rep := &Report{First: map[string]*hdrhistogram.Histogram{}, Gap: map[string]*hdrhistogram.Histogram{},
 		Took: map[string]*hdrhistogram.Histogram{}, Codes: map[string]int{}}
 	for _, w := range r.Plan.Workspaces {
-		out.Rows = append(out.Rows, Row{Workspace: w.Name, Service: map[string]float64{}, Offered: map[string]float64{}})
+		rep.Rows = append(rep.Rows, Row{Workspace: w.Name, Service: map[string]float64{}, Offered: map[string]float64{}})
 	}
 	for i := range r.Records {
 		rec := &r.Records[i]
-		out.Rows[rec.Job.Workspace].add(rec, ev)
+		rep.Rows[rec.Job.Workspace].addRecord(rec, ev)
 		if !rec.Skipped {
-			out.addTimes(rec)
+			rep.addLatencies(rec)
 		}
 	}
-	out.shares(r.Plan)
-	out.Total = Row{Workspace: "total"}
-	for _, row := range out.Rows {
-		out.Total.merge(row)
+	rep.fillShares(r.Plan)
+	rep.Total = Row{Workspace: "total"}
+	for _, row := range rep.Rows {
+		rep.Total.merge(row)
 	}
-	return out
+	return rep
 }
 
-func (row *Row) add(rec *Record, ev *Evidence) {
+// addRecord counts one request; ev may be nil.
+func (row *Row) addRecord(rec *Record, ev *Evidence) {
 	if rec.Skipped {
 		row.Skipped++
 		return
@@ -115,6 +123,7 @@
 	}
 }
 
+// merge adds the counts and shares of another row.
 func (row *Row) merge(o Row) {
 	row.Sent += o.Sent
 	row.Whole += o.Whole
@@ -130,38 +139,41 @@
 	row.Fair += o.Fair
 }
 
-func (out *Report) addTimes(rec *Record) {
+// addLatencies adds a sent request to the histograms or, without a whole response,
+// to the error counts.
+func (rep *Report) addLatencies(rec *Record) {
 	name := rec.Job.Kind.Name
-	if out.First[name] == nil {
-		out.First[name], out.Gap[name], out.Took[name] = newHist(), newHist(), newHist()
+	if rep.First[name] == nil {
+		rep.First[name], rep.Gap[name], rep.Took[name] = newHist(), newHist(), newHist()
 	}
 	if rec.Verdict != Whole {
-		out.Codes[rec.Code[:min(len(rec.Code), maxCode)]]++
+		rep.Codes[rec.Code[:min(len(rec.Code), maxCodeBytes)]]++
 		return
 	}
-	record(out.First[name], rec.FirstToken)
-	record(out.Took[name], rec.Took)
+	recordDuration(rep.First[name], rec.FirstToken)
+	recordDuration(rep.Took[name], rec.Took)
 	for _, g := range rec.gaps {
-		record(out.Gap[name], g)
+		recordDuration(rep.Gap[name], g)
 	}
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(histMin, d.Microseconds()), histMax)) // clamped, so never out of range
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(histMinMicros, d.Microseconds()), histMaxMicros)) // clamped, so never out of range
 }
 
-// Clean reports that nothing was lost, doubled, wrong, unexplained or refused
-// with a false "not run".
-func (out *Report) Clean() bool {
-	t := out.Total
+// Clean reports whether every sent request got a whole response or a correct "not
+// run" refusal, and no request with an idempotency key ran more than once.
+func (rep *Report) Clean() bool {
+	t := rep.Total
 	return t.Lost+t.Broken+t.Wrong+t.Unknown+t.Doubled+t.FalselyRefused == 0
 }
 
-// Write prints the table of the workspaces and the histograms.
-func (out *Report) Write(w io.Writer) {
+// Write prints a table of the workspaces, the quantiles of the histograms in ms and
+// the error counts. Write errors are ignored.
+func (rep *Report) Write(w io.Writer) {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "workspace\tsent\twhole\trefused\tfalse\tunknown\tbroken\tlost\twrong\tdoubled\tskipped\tshare\tfair\t")
-	for _, r := range append(append([]Row(nil), out.Rows...), out.Total) {
+	for _, r := range append(append([]Row(nil), rep.Rows...), rep.Total) {
 		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f%%\t%.1f%%\t\n", r.Workspace, r.Sent, r.Whole, r.Refused,
 			r.FalselyRefused, r.Unknown, r.Broken, r.Lost, r.Wrong, r.Doubled, r.Skipped, 100*r.Share, 100*r.Fair)
 	}
@@ -169,14 +181,14 @@
 	fmt.Fprintln(w)
 	tw = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "ms\tcount\tp50\tp95\tp99\tmax\t")
-	for _, k := range sortedKeys(out.First) {
-		writeHist(tw, k+" first byte", out.First[k])
-		writeHist(tw, k+" token gap", out.Gap[k])
-		writeHist(tw, k+" whole", out.Took[k])
+	for _, k := range sortedKeys(rep.First) {
+		writeHist(tw, k+" first byte", rep.First[k])
+		writeHist(tw, k+" token gap", rep.Gap[k])
+		writeHist(tw, k+" whole", rep.Took[k])
 	}
 	_ = tw.Flush()
-	for _, c := range sortedKeys(out.Codes) {
-		fmt.Fprintf(w, "%6d  %q\n", out.Codes[c], c)
+	for _, c := range sortedKeys(rep.Codes) {
+		fmt.Fprintf(w, "%6d  %q\n", rep.Codes[c], c)
 	}
 }
 
@@ -184,8 +196,8 @@
 	if h.TotalCount() == 0 {
 		return
 	}
-	q := func(p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
-	fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t\n", name, h.TotalCount(), q(50), q(95), q(99), float64(h.Max())/1000)
+	quantileMs := func(p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
+	fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t\n", name, h.TotalCount(), quantileMs(50), quantileMs(95), quantileMs(99), float64(h.Max())/1000)
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -7,43 +7,44 @@
 	"time"
 )
 
-// Record is what became of one job.
+// Record is the outcome of one job.
 type Record struct {
 	Job      *Job
-	Verdict  Verdict
-	Code     string
+	Verdict  Verdict // of the last attempt; a failed connect is Refused
+	Code     string  // error text of the last attempt; "" = none
 	Attempts int
 	// AllNotRun reports that every attempt was refused as "not run" or never
 	// left the client.
 	AllNotRun bool
-	// Skipped reports that the generator itself shed the job.
+	// Skipped reports that the generator did not send the job, because too many
+	// were in flight or the run was cancelled.
 	Skipped    bool
-	FirstToken time.Duration // from the planned arrival; 0 = none
-	Ended      time.Duration // from the start of the run
-	Took       time.Duration // from the planned arrival
+	FirstToken time.Duration // from the planned arrival to the first byte; 0 = none
+	Ended      time.Duration // from the start of the run to the end of the job
+	Took       time.Duration // from the planned arrival to the end of the job
 	gaps       []time.Duration
 }
 
-// Progress is the state of a run.
+// Progress holds the counts of a run so far.
 type Progress struct {
 	Elapsed time.Duration
-	Sent    int64
-	Ended   int64
-	By      [Wrong + 1]int64
+	Sent    int64            // jobs started, without skipped ones
+	Ended   int64            // jobs with a final outcome
+	By      [Wrong + 1]int64 // ended jobs by verdict
 }
 
-// Run holds a run under way or its result.
+// Run executes a plan and holds its result.
 type Run struct {
 	Plan    *Plan
 	Start   time.Time
-	Records []Record
+	Records []Record // by planned arrival; complete when Do has returned
 
 	sent, ended atomic.Int64
-	by          [Wrong + 1]atomic.Int64
+	byVerdict   [Wrong + 1]atomic.Int64
 	inFlight    atomic.Int64
 }
 
-// New prepares a run.
+// New generates the jobs of a plan. Do starts the run.
 func New(p *Plan) *Run {
 	jobs := p.Jobs()
 	r := &Run{Plan: p, Records: make([]Record, len(jobs))}
@@ -53,52 +54,55 @@
 	return r
 }
 
-// Progress returns the state of the run; it may be called at any time.
+// Progress returns the counts of the run so far. It may be called at any time.
 func (r *Run) Progress() Progress {
 	p := Progress{Sent: r.sent.Load(), Ended: r.ended.Load()}
 	if !r.Start.IsZero() {
 		p.Elapsed = time.Since(r.Start)
 	}
-	for i := range r.by {
-		p.By[i] = r.by[i].Load()
+	for i := range r.byVerdict {
+		p.By[i] = r.byVerdict[i].Load()
 	}
 	return p
 }
 
-// Do sends all jobs at their times and waits for every response. A cancelled
-// context stops new sends and cuts responses.
+// Do sends every job at its planned arrival and waits until all have a final
+// outcome. If the context is cancelled, it sends no further jobs and attempts, and
+// a response in flight counts as lost after its next read.
 func (r *Run) Do(ctx context.Context) {
 	s := newSender(r.Plan)
 	defer s.close()
-	polls, cancel := context.WithCancel(ctx)
+	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Idle connections to an entry that was away lead to a process that ended.
-	b := newBalancer(r.Plan, func(i int) { s.host(r.Plan.Entries[i]).CloseIdleConnections() })
-	b.run(polls)
-	limit := int64(r.Plan.MaxInFlight)
-	if limit == 0 {
-		limit = 20000
+	// An entry that becomes ready again may be a new process: idle connections to it
+	// lead to the previous one.
+	b := newBalancer(r.Plan, func(i int) { s.client(r.Plan.Entries[i]).CloseIdleConnections() })
+	b.run(pollCtx)
+	maxInFlight := int64(r.Plan.MaxInFlight)
+	if maxInFlight == 0 {
+		maxInFlight = 20000
 	}
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	r.Start = time.Now()
 	for i := range r.Records {
 		rec := &r.Records[i]
-		if !sleepUntil(ctx, r.Start.Add(rec.Job.At)) || r.inFlight.Load() >= limit {
+		if !sleepUntil(ctx, r.Start.Add(rec.Job.At)) || r.inFlight.Load() >= maxInFlight {
 			rec.Skipped = true
 			continue
 		}
 		r.sent.Add(1)
 		r.inFlight.Add(1)
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
+			defer wg.Done()
 			defer r.inFlight.Add(-1)
-			r.one(ctx, s, b, rec)
+			r.runJob(ctx, s, b, rec)
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
+// sleepUntil reports whether the time was reached before the context ended.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
@@ -114,42 +118,43 @@
 	}
 }
 
-// one sends a job until it has a final outcome.
-func (r *Run) one(ctx context.Context, s *sender, b *balancer, rec *Record) {
+// runJob makes attempts at a job until it has a final outcome.
+func (r *Run) runJob(ctx context.Context, s *sender, b *balancer, rec *Record) {
 	j := rec.Job
 	body := j.Body()
 	rec.AllNotRun = true
 	var a attempt
 	for {
-		addr, free := s.take(j, func() int { return b.choose(j.Entry, rec.Attempts) })
+		addr, release := s.acquireAddr(j, func() int { return b.choose(j.Entry, rec.Attempts) })
 		a = s.send(ctx, j, addr, body)
-		free()
+		release()
 		rec.Attempts++
-		notRun := a.unsent || a.verdict == Refused
+		notRun := a.notSent || a.verdict == Refused
 		rec.AllNotRun = rec.AllNotRun && notRun
 		if a.verdict == Whole || a.verdict == Wrong || rec.Attempts >= r.Plan.Attempts {
 			break
 		}
-		if !sleepUntil(ctx, time.Now().Add(max(a.retryAfter, retryPause))) {
+		if !sleepUntil(ctx, time.Now().Add(max(a.retryAfter, minRetryInterval))) {
 			break
 		}
 	}
-	r.settle(rec, &a)
+	r.recordOutcome(rec, &a)
 }
 
-// retryPause is the least time between two attempts of a caller.
-const retryPause = 200 * time.Millisecond
+// minRetryInterval is the minimum delay between two attempts at a job.
+const minRetryInterval = 200 * time.Millisecond
 
-func (r *Run) settle(rec *Record, a *attempt) {
-	due := r.Start.Add(rec.Job.At)
+// recordOutcome stores the last attempt as the outcome of a job.
+func (r *Run) recordOutcome(rec *Record, a *attempt) {
+	planned := r.Start.Add(rec.Job.At)
 	rec.Verdict, rec.Code, rec.gaps = a.verdict, a.code, a.gaps
-	if a.unsent {
-		rec.Verdict = Refused // no instance took the connection: certainly not run
+	if a.notSent {
+		rec.Verdict = Refused // no instance accepted the connection, so the request did not run
 	}
-	rec.Took, rec.Ended = time.Since(due), time.Since(r.Start)
+	rec.Took, rec.Ended = time.Since(planned), time.Since(r.Start)
 	if !a.firstByte.IsZero() {
-		rec.FirstToken = a.firstByte.Sub(due)
+		rec.FirstToken = a.firstByte.Sub(planned)
 	}
-	r.by[rec.Verdict].Add(1)
+	r.byVerdict[rec.Verdict].Add(1)
 	r.ended.Add(1)
 }
