--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,118 +7,125 @@
 	"nutmegrouter/platform/standin"
 )
 
-// check compares what callers, targets and operators saw with the promises. Each
-// finding is one line.
-func (w *world) check(attempts []*attempt) []string {
-	found := w.ledger.Broken()
-	runs := w.ledger.All()
-	sent := map[string]*attempt{}
-	for _, a := range attempts {
-		sent[a.call.ID] = a
-		found = append(found, checkAttempt(a, runs[a.call.ID])...)
+// findViolations checks the recorded requests and the runs at the targets against
+// the fleet's guarantees. Each violation is one line.
+func (h *harness) findViolations(requests []*request) []string {
+	violations := h.ledger.Broken()
+	runs := h.ledger.All()
+	byID := map[string]*request{}
+	for _, req := range requests {
+		byID[req.call.ID] = req
+		violations = append(violations, checkResponse(req, runs[req.call.ID])...)
 	}
 	for id, list := range runs {
-		a := sent[id]
-		if a == nil {
-			found = append(found, fmt.Sprintf("%s: run on %s, but no caller sent it", id, list[0].Target))
+		req := byID[id]
+		if req == nil {
+			violations = append(violations, fmt.Sprintf("%s: ran on %s, but no caller sent it", id, list[0].Target))
 			continue
 		}
-		found = append(found, checkRuns(a, list)...)
+		violations = append(violations, checkRuns(req, list)...)
 	}
-	return append(found, w.checkBudget(attempts, runs)...)
+	return append(violations, h.checkRetryBudget(requests, runs)...)
 }
 
-// checkAttempt checks one answer.
-func checkAttempt(a *attempt, runs []standin.Run) (found []string) {
+// checkResponse checks the response to one request: its content, that the request did
+// not run if the status promises so and no target signed the response, and that the
+// response ended at most 700 ms after the route's time limit. Idempotent requests may
+// have run in an earlier attempt.
+func checkResponse(req *request, runs []standin.Run) (violations []string) {
 	add := func(format string, args ...any) {
-		found = append(found, fmt.Sprintf("%s (%s at %s, sent %s): ", a.call.ID, a.route.Name, a.entry.name, a.sentAt.Format("15:04:05.000"))+fmt.Sprintf(format, args...))
+		violations = append(violations, fmt.Sprintf("%s (%s at %s, sent %s): ", req.call.ID, req.route.Name, req.entry.name, req.sentAt.Format("15:04:05.000"))+fmt.Sprintf(format, args...))
 	}
-	if a.answer.Wrong != "" {
-		add("%s", a.answer.Wrong)
+	if req.response.Wrong != "" {
+		add("%s", req.response.Wrong)
 	}
-	if a.answer.Promises() && len(runs) > 0 && a.answer.Signed == "" && a.route.Kind != "idempotent" {
-		add("answered %d, but it was run on %s", a.answer.Status, runs[0].Target)
+	if req.response.Promises() && len(runs) > 0 && req.response.Signed == "" && req.route.Kind != "idempotent" {
+		add("status %d promises that the request did not run, but it ran on %s", req.response.Status, runs[0].Target)
 	}
-	if a.answer.Status == 404 || a.answer.Status == 401 {
-		add("answered %d, though its route and key were always there", a.answer.Status)
+	if req.response.Status == 404 || req.response.Status == 401 {
+		add("status %d, although the route and the key were always configured", req.response.Status)
 	}
-	if over := a.answer.Took - time.Duration(a.route.TimeoutMs)*time.Millisecond; over > 700*time.Millisecond {
-		add("no final answer %v after its time limit", over)
+	if overrun := req.response.Took - time.Duration(req.route.TimeoutMs)*time.Millisecond; overrun > 700*time.Millisecond {
+		add("response ended %v after its deadline", overrun)
 	}
-	return found
+	return violations
 }
 
-// checkRuns checks the runs of one request.
-func checkRuns(a *attempt, runs []standin.Run) (found []string) {
-	repeatable := a.route.Kind == "idempotent" || a.route.Resumable
-	if len(runs) > 1 && !repeatable {
-		found = append(found, fmt.Sprintf("%s (%s): run %d times", a.call.ID, a.route.Name, len(runs)))
+// checkRuns checks the runs of one request at the targets: their number, service, path
+// and workspace.
+func checkRuns(req *request, runs []standin.Run) (violations []string) {
+	retryable := req.route.Kind == "idempotent" || req.route.Resumable
+	if len(runs) > 1 && !retryable {
+		violations = append(violations, fmt.Sprintf("%s (%s): ran %d times, but must not be retried", req.call.ID, req.route.Name, len(runs)))
 	}
 	targets := map[string]bool{}
-	for _, r := range runs {
-		targets[r.Target] = true
-		if r.Service != a.route.Service {
-			found = append(found, fmt.Sprintf("%s (%s): run by service %s", a.call.ID, a.route.Name, r.Service))
+	for _, run := range runs {
+		targets[run.Target] = true
+		if run.Service != req.route.Service {
+			violations = append(violations, fmt.Sprintf("%s (%s): ran on service %s", req.call.ID, req.route.Name, run.Service))
 		}
-		if r.Path != a.call.Path {
-			found = append(found, fmt.Sprintf("%s (%s): run with the path %s", a.call.ID, a.route.Name, r.Path))
+		if run.Path != req.call.Path {
+			violations = append(violations, fmt.Sprintf("%s (%s): ran with the path %s", req.call.ID, req.route.Name, run.Path))
 		}
-		if !a.route.Public && r.Workspace == "" {
-			found = append(found, fmt.Sprintf("%s (%s): run without its workspace", a.call.ID, a.route.Name))
+		if !req.route.Public && run.Workspace == "" {
+			violations = append(violations, fmt.Sprintf("%s (%s): ran without its workspace", req.call.ID, req.route.Name))
 		}
 	}
-	if len(targets) > a.route.MaxAttempts {
-		found = append(found, fmt.Sprintf("%s (%s): run on %d targets, allowed are %d", a.call.ID, a.route.Name, len(targets), a.route.MaxAttempts))
+	if len(targets) > req.route.MaxAttempts {
+		violations = append(violations, fmt.Sprintf("%s (%s): ran on %d targets, want at most %d", req.call.ID, req.route.Name, len(targets), req.route.MaxAttempts))
 	}
-	return found
+	return violations
 }
 
-// checkBudget counts the repeats in each window over all instances.
-func (w *world) checkBudget(attempts []*attempt, runs map[string][]standin.Run) (found []string) {
-	type at struct {
-		t      time.Time
-		repeat bool
+// checkRetryBudget checks the retry budget of each service over all instances. It
+// slides a window of retryWindow over the requests and their runs; every run of a
+// request after its first counts as a retry.
+func (h *harness) checkRetryBudget(requests []*request, runs map[string][]standin.Run) (violations []string) {
+	type event struct {
+		t     time.Time
+		retry bool
 	}
-	events := map[string][]at{}
-	for _, a := range attempts {
-		events[a.route.Service] = append(events[a.route.Service], at{a.sentAt, false})
-		for i, r := range runs[a.call.ID] {
+	eventsByService := map[string][]event{}
+	for _, req := range requests {
+		eventsByService[req.route.Service] = append(eventsByService[req.route.Service], event{req.sentAt, false})
+		for i, run := range runs[req.call.ID] {
 			if i > 0 {
-				events[a.route.Service] = append(events[a.route.Service], at{r.At, true})
+				eventsByService[req.route.Service] = append(eventsByService[req.route.Service], event{run.At, true})
 			}
 		}
 	}
-	for service, list := range events {
-		for _, end := range list {
-			requests, repeats := 0, 0
+	for service, list := range eventsByService {
+		for _, last := range list {
+			requestCount, retryCount := 0, 0
 			for _, e := range list {
-				if d := end.t.Sub(e.t); d >= 0 && d < retryWindow {
-					if e.repeat {
-						repeats++
+				if age := last.t.Sub(e.t); age >= 0 && age < retryWindow {
+					if e.retry {
+						retryCount++
 					} else {
-						requests++
+						requestCount++
 					}
 				}
 			}
-			if limit := retryRatio*float64(requests) + retrySlack; float64(repeats) > limit {
-				found = append(found, fmt.Sprintf("%s: %d repeats for %d requests in %v", service, repeats, requests, retryWindow))
+			if limit := retryRatio*float64(requestCount) + retrySlack; float64(retryCount) > limit {
+				violations = append(violations, fmt.Sprintf("%s: %d retries for %d requests in %v", service, retryCount, requestCount, retryWindow))
 				break
 			}
 		}
 	}
-	return found
+	return violations
 }
 
-// served returns how many attempts of callers that stayed had a whole answer.
-func served(attempts []*attempt, from, to time.Time) (ok, all int) {
-	for _, a := range attempts {
-		if a.left || a.sentAt.Before(from) || a.sentAt.After(to) {
+// countServed counts the requests sent from one time to another whose callers did not
+// disconnect, and those of them that got a complete, correct response of status 200.
+func countServed(requests []*request, from, to time.Time) (servedCount, total int) {
+	for _, req := range requests {
+		if req.disconnects || req.sentAt.Before(from) || req.sentAt.After(to) {
 			continue
 		}
-		all++
-		if a.answer.Status == 200 && a.answer.Whole && a.answer.Wrong == "" {
-			ok++
+		total++
+		if req.response.Status == 200 && req.response.Whole && req.response.Wrong == "" {
+			servedCount++
 		}
 	}
-	return ok, all
+	return servedCount, total
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,8 +1,10 @@
-// Package soak runs the real programs of a fleet with the profile "routes" as
-// processes of one machine, plays random faults from outside them, and checks from
-// what callers, targets and operators see that the promises hold.
+// Package soak is a randomised fault-injection test of a fleet with the profile
+// "routes". It runs the real programs as processes of one machine, generates load,
+// injects faults from outside the processes, and checks the fleet's guarantees
+// against what callers, targets and operators observed.
 //
-// A run is determined by its seed, but for the timing of the processes. Callers
-// use connections until their instance is gone; faults come in series and overlap.
-// Only processes that the run has started are signalled, by their ids.
+// The seed determines the requests and the sequence of faults; the timing of the
+// processes still varies between runs. HTTP clients keep their connections to an
+// instance until it closes them. Faults run in two concurrent series and overlap.
+// Signals go only to processes that the run has started, by their ids.
 package soak
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -12,20 +12,20 @@
 	"github.com/pkg/errors"
 )
 
-// Report is the outcome of a run.
+// Report is the result of one run.
 type Report struct {
 	Seed             uint64
-	Played           []string // faults, in the order of their beginning
-	Served, Attempts int      // of callers that stayed
-	AfterServed      int      // after the last fault
-	AfterAttempts    int
-	Found            []string // broken promises
+	Played           []string // names of the faults, in the order in which they started
+	Served, Attempts int      // requests with a complete 200 response, and all, without disconnected callers
+	AfterServed      int      // the part of Served sent after the faults and the recovery time
+	AfterAttempts    int      // the part of Attempts sent after the faults and the recovery time
+	Found            []string // violations of the fleet's guarantees, one line each
 }
 
-// String returns the report in a few lines.
+// String returns a line with the counts and one line for each violation.
 func (r *Report) String() string {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "seed %d: %d of %d served, after the faults %d of %d, %d promises broken\n", r.Seed, r.Served, r.Attempts, r.AfterServed, r.AfterAttempts, len(r.Found))
+	fmt.Fprintf(&b, "seed %d: %d of %d served, after the faults %d of %d, %d violations\n", r.Seed, r.Served, r.Attempts, r.AfterServed, r.AfterAttempts, len(r.Found))
 	for _, f := range r.Found {
 		fmt.Fprintf(&b, "  %s\n", f)
 	}
@@ -33,77 +33,83 @@
 }
 
 const (
-	// recovery is the time after the last fault from which requests must be served.
-	recovery = 5 * time.Second
-	// calm is how long the load goes on after the recovery.
-	calm = 4 * time.Second
+	// recoveryTime is the time that the fleet has after the last fault before requests
+	// must be served again.
+	recoveryTime = 5 * time.Second
+	// loadAfterRecovery is how long the load continues after the recovery time.
+	loadAfterRecovery = 4 * time.Second
 )
 
-// Run plays one seed.
+// Run starts a fleet, runs the load and the faults of one seed for o.Duration, lets the
+// fleet recover, and returns the violations in the report. It fails if the fleet does
+// not start. If ctx ends during the run, it returns the report together with ctx's
+// error. The processes are killed before it returns.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	w, err := newWorld(o)
+	h, err := newHarness(o)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	if err := w.up(ctx); err != nil {
+	defer h.close()
+	if err := h.startFleet(ctx); err != nil {
 		return nil, err
 	}
-	w.accepted = w.config.Version
-	c := newCallers(w)
-	load, stop := context.WithCancel(ctx)
+	h.acceptedVersion = h.config.Version
+	generator := newLoadGenerator(h)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { c.play(load) })
-	r := &Report{Seed: o.Seed}
+	wg.Go(func() { generator.run(loadCtx) })
+	report := &Report{Seed: o.Seed}
 	if o.Quiet {
 		sleep(ctx, o.Duration)
 	} else {
-		r.Played = w.playFaults(ctx)
+		report.Played = h.injectFaults(ctx)
 	}
-	healed := time.Now()
-	sleep(ctx, recovery+calm)
-	stop()
+	faultsEnded := time.Now()
+	sleep(ctx, recoveryTime+loadAfterRecovery)
+	stopLoad()
 	wg.Wait()
-	attempts := c.all()
-	r.Found = append(w.check(attempts), w.checkConfig(ctx)...)
-	r.Served, r.Attempts = served(attempts, time.Time{}, time.Now())
-	r.AfterServed, r.AfterAttempts = served(attempts, healed.Add(recovery), time.Now())
-	if r.AfterServed*2 < r.AfterAttempts {
-		r.Found = append(r.Found, fmt.Sprintf("after the faults %d of %d requests were served", r.AfterServed, r.AfterAttempts))
+	requests := generator.recorded()
+	report.Found = append(h.findViolations(requests), h.checkConfig(ctx)...)
+	report.Served, report.Attempts = countServed(requests, time.Time{}, time.Now())
+	report.AfterServed, report.AfterAttempts = countServed(requests, faultsEnded.Add(recoveryTime), time.Now())
+	if report.AfterServed*2 < report.AfterAttempts {
+		report.Found = append(report.Found, fmt.Sprintf("after the faults only %d of %d requests were served, want at least half", report.AfterServed, report.AfterAttempts))
 	}
-	return r, ctx.Err()
+	return report, ctx.Err()
 }
 
-// playFaults plays faults in two series beside each other, so that they overlap.
-// No more control instances are lost at once than the fleet must bear.
-func (w *world) playFaults(ctx context.Context) []string {
-	ctx, cancel := context.WithTimeout(ctx, w.opt.Duration)
+// injectFaults injects random faults in two concurrent series for the duration of the
+// run, and returns their names in the order in which they started. A fault that takes
+// down control instances starts only if no other such fault is active or if at most
+// opt.Losses control instances are then down.
+func (h *harness) injectFaults(ctx context.Context) []string {
+	ctx, cancel := context.WithTimeout(ctx, h.opt.Duration)
 	defer cancel()
 	var mu sync.Mutex
 	var played []string
-	lost := 0
-	kinds := faults()
+	controlsDown := 0
+	allFaults := faults()
 	var wg sync.WaitGroup
 	for series := range 2 {
-		rng := rand.New(rand.NewPCG(w.opt.Seed, uint64(10+series)))
+		rng := rand.New(rand.NewPCG(h.opt.Seed, uint64(10+series)))
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				f := pick(kinds, rng)
+				f := pick(allFaults, rng)
 				mu.Lock()
-				if f.lost > 0 && lost > 0 && lost+f.lost > w.opt.Losses {
+				if f.controlsLost > 0 && controlsDown > 0 && controlsDown+f.controlsLost > h.opt.Losses {
 					mu.Unlock()
-					pause(ctx, rng, 0.2)
+					randomPause(ctx, rng, 0.2)
 					continue
 				}
-				lost += f.lost
+				controlsDown += f.controlsLost
 				played = append(played, f.name)
 				mu.Unlock()
-				w.opt.Log("%s begins", f.name)
-				f.play(ctx, w, rng)
-				w.opt.Log("%s ended", f.name)
-				pause(ctx, rng, 1)
+				h.opt.Log("fault %s started", f.name)
+				f.inject(ctx, h, rng)
+				h.opt.Log("fault %s ended", f.name)
+				randomPause(ctx, rng, 1)
 				mu.Lock()
-				lost -= f.lost
+				controlsDown -= f.controlsLost
 				mu.Unlock()
 			}
 		})
@@ -112,14 +118,15 @@
 	return played
 }
 
-// checkConfig reads the configuration back, which must be the newest accepted one.
-func (w *world) checkConfig(ctx context.Context) []string {
-	var newest []byte
-	err := w.await(ctx, "configuration read back", func() bool {
-		for _, n := range w.controls() {
-			status, raw, err := w.operator.Read(ctx, n.address(operatorPort))
+// checkConfig reads the configuration back and checks that it is the one accepted last.
+// It skips the comparison if the last configuration sent was not confirmed as accepted.
+func (h *harness) checkConfig(ctx context.Context) []string {
+	var current []byte
+	err := h.waitFor(ctx, "configuration read back", func() bool {
+		for _, inst := range h.controlInstances() {
+			status, doc, err := h.operator.Read(ctx, inst.address(operatorPort))
 			if err == nil && status == http.StatusOK {
-				newest = raw
+				current = doc
 				return true
 			}
 		}
@@ -128,12 +135,13 @@
 	if err != nil {
 		return []string{err.Error()}
 	}
-	if w.accepted == w.config.Version && !bytes.Equal(newest, w.config.Document()) {
-		return []string{fmt.Sprintf("the configuration read back is not version %d, which was accepted", w.accepted)}
+	if h.acceptedVersion == h.config.Version && !bytes.Equal(current, h.config.Document()) {
+		return []string{fmt.Sprintf("the configuration read back differs from the accepted version %d", h.acceptedVersion)}
 	}
 	return nil
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -141,13 +149,14 @@
 	}
 }
 
-// Validate reports options that a run cannot use.
+// Validate returns an error if the fleet would lack a control instance, an entry
+// instance or a target of either service, or if Binary or Dir is empty.
 func (o *Options) Validate() error {
 	if o.Controls < 1 || o.Entries < 1 || o.Engines < 1 || o.Plain < 1 {
-		return errors.New("want at least one control and entry instance and one target of each service")
+		return errors.New("at least one control instance, entry instance, engine and plain service is needed")
 	}
 	if o.Binary == "" || o.Dir == "" {
-		return errors.New("want the daemon's path and a folder")
+		return errors.New("the path of the daemon and the folder must be set")
 	}
 	return nil
 }
