--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,7 +11,7 @@
 	"nutmegrouter/internal/standin/relay"
 )
 
-// fault is one kind of fault.
+// fault is a fault that a run can inject.
 type fault struct {
 	name string
 	// controlsLost is the number of control instances that are unavailable while the
@@ -21,7 +21,7 @@
 	inject func(ctx context.Context, h *harness, rng *rand.Rand)
 }
 
-// faults returns all kinds of faults. The number 9 of all-controls keeps it from
+// faults returns all faults that a run can inject. The number 9 of all-controls keeps it from
 // running together with another fault that takes down control instances.
 func faults() []fault {
 	return []fault{
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -21,19 +21,20 @@
 
 // Options describe the fleet, the load and the faults of a run.
 type Options struct {
-	Seed           uint64
-	Dir            string // folder for settings, data and logs
-	Binary         string // path of nutmegd
-	Controls       int
-	Entries        int
-	Engines, Plain int // numbers of targets of the model service and of the plain service
-	RequestsPerS   float64
-	TokensPerS     int           // capacity of all engines together; requests of workspaces beyond their share are refused
+	Seed           uint64        // of the random requests and faults
+	Dir            string        // folder for settings, data and logs
+	Binary         string        // path of nutmegd
+	Controls       int           // number of control instances
+	Entries        int           // number of entry instances
+	Engines, Plain int           // numbers of targets of the model service and of the plain service
+	RequestsPerS   float64       // mean rate of the load over all entry instances
+	TokensPerS     int           // capacity of all engines together in tokens a second; requests of workspaces beyond their share are refused
 	Duration       time.Duration // how long faults are injected; the load starts before and ends after this time
 	Quiet          bool          // inject no faults
-	Log            func(format string, args ...any)
-	Network        int // second byte of the loopback addresses; must differ between runs at the same time
-	Losses         int // number of control instances that the fleet tolerates losing at once
+	// Log receives the progress and the failures of the faults. It must not be nil.
+	Log     func(format string, args ...any)
+	Network int // second byte of the loopback addresses; must differ between runs at the same time
+	Losses  int // number of control instances that the fleet tolerates losing at once
 }
 
 // Bounds required by the platform, written to the instances' settings; see
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -12,75 +12,78 @@
 	"nutmegrouter/internal/loadgen"
 )
 
-// load is load under way.
-type load struct {
+// loadRun is a load that runs in the background.
+type loadRun struct {
 	run  *loadgen.Run
-	done chan struct{}
+	done chan struct{} // closed when the load has ended
 }
 
-// kinds are the requests that load may name.
-func kinds(names string) ([]loadgen.Kind, error) {
-	all := append(loadgen.StandardKinds(fleetrun.EnginePool, fleetrun.Model, fleetrun.ServicePool),
+// parseKinds returns the kinds of requests with the given names, separated by commas.
+func parseKinds(names string) ([]loadgen.Kind, error) {
+	available := append(loadgen.StandardKinds(fleetrun.EnginePool, fleetrun.Model, fleetrun.ServicePool),
 		loadgen.Kind{Name: "stream", Share: 10, Class: "long", Pool: fleetrun.EnginePool, Model: fleetrun.Model, Least: 300, Most: 500})
 	var out []loadgen.Kind
 	for _, name := range strings.Split(names, ",") {
-		i := slices.IndexFunc(all, func(k loadgen.Kind) bool { return k.Name == name })
+		i := slices.IndexFunc(available, func(k loadgen.Kind) bool { return k.Name == name })
 		if i < 0 {
 			return nil, fmt.Errorf("unknown kind %q", name)
 		}
-		out = append(out, all[i])
+		out = append(out, available[i])
 	}
 	return out, nil
 }
 
-func (w *world) plan(seed uint64) *loadgen.Plan {
-	p := &loadgen.Plan{Seed: seed, Rate: 100, Duration: 10 * time.Second, Attempts: 1}
-	p.Entries, p.Ready = w.fleet.Entries()
-	shares := loadgen.Skewed(len(w.fleet.Workspaces), 0.8)
-	for i, ws := range w.fleet.Workspaces {
-		p.Workspaces = append(p.Workspaces, loadgen.Workspace{Name: ws.Name, Key: ws.Key, Weight: ws.Weight, Share: shares[i]})
+// newPlan returns a load plan with default values over all instances and workspaces.
+func (h *harness) newPlan(seed uint64) *loadgen.Plan {
+	plan := &loadgen.Plan{Seed: seed, Rate: 100, Duration: 10 * time.Second, Attempts: 1}
+	plan.Entries, plan.Ready = h.fleet.Entries()
+	shares := loadgen.Skewed(len(h.fleet.Workspaces), 0.8)
+	for i, workspace := range h.fleet.Workspaces {
+		plan.Workspaces = append(plan.Workspaces, loadgen.Workspace{Name: workspace.Name, Key: workspace.Key, Weight: workspace.Weight, Share: shares[i]})
 	}
-	return p
+	return plan
 }
 
-func (w *world) startLoad(_ script, args []string) error {
-	p := w.plan(uint64(len(w.loads) + 1))
-	p.Kinds, _ = kinds("long,quick,label,call")
-	for _, a := range args[1:] {
-		if err := w.planOption(p, a); err != nil {
+// startLoad starts a load in the background.
+func (h *harness) startLoad(_ script, args []string) error {
+	plan := h.newPlan(uint64(len(h.loads) + 1))
+	plan.Kinds, _ = parseKinds("long,quick,label,call")
+	for _, arg := range args[1:] {
+		if err := h.setPlanOption(plan, arg); err != nil {
 			return err
 		}
 	}
-	l := &load{run: loadgen.New(p), done: make(chan struct{})}
-	w.loads[args[0]] = l
+	load := &loadRun{run: loadgen.New(plan), done: make(chan struct{})}
+	h.loads[args[0]] = load
 	go func() {
-		defer close(l.done)
-		l.run.Do(w.ctx)
+		defer close(load.done)
+		load.run.Do(h.ctx)
 	}()
 	return nil
 }
 
-func (w *world) planOption(p *loadgen.Plan, arg string) (err error) {
-	key, v, _ := strings.Cut(arg, "=")
+// setPlanOption applies one KEY=VALUE argument of the command load to a plan.
+func (h *harness) setPlanOption(plan *loadgen.Plan, arg string) (err error) {
+	key, value, _ := strings.Cut(arg, "=")
 	switch key {
 	case "rate":
-		p.Rate, err = strconv.ParseFloat(v, 64)
+		plan.Rate, err = strconv.ParseFloat(value, 64)
 	case "for":
-		p.Duration, err = time.ParseDuration(v)
+		plan.Duration, err = time.ParseDuration(value)
 	case "kinds":
-		p.Kinds, err = kinds(v)
+		plan.Kinds, err = parseKinds(value)
 	case "attempts":
-		p.Attempts, err = strconv.Atoi(v)
+		plan.Attempts, err = strconv.Atoi(value)
 	case "seed":
-		p.Seed, err = strconv.ParseUint(v, 10, 64)
+		plan.Seed, err = strconv.ParseUint(value, 10, 64)
 	case "entries":
-		p.Entries, p.Ready = nil, nil
-		for _, name := range strings.Split(v, ",") {
-			r, err := w.fleet.Router(name)
+		plan.Entries, plan.Ready = nil, nil
+		for _, name := range strings.Split(value, ",") {
+			r, err := h.fleet.Router(name)
 			if err != nil {
 				return err
 			}
-			p.Entries, p.Ready = append(p.Entries, r.Listen), append(p.Ready, "http://"+r.Admin+"/ready")
+			plan.Entries, plan.Ready = append(plan.Entries, r.Listen), append(plan.Ready, "http://"+r.Admin+"/ready")
 		}
 	default:
 		err = fmt.Errorf("unknown argument %q", arg)
@@ -88,47 +91,51 @@
 	return err
 }
 
-// await waits for load and bounds each count; what is not named must be 0,
-// except that refusals which say "not run" truthfully are free unless named.
-func (w *world) await(ts script, args []string) error {
-	l := w.loads[args[0]]
-	if l == nil {
+// awaitLoad waits for the end of a load and checks its counts. Lost, unknown and broken
+// requests must be at most the given number, by default 0. Refusals that correctly say
+// "not run" are limited only if the argument refused is given. At least the given number
+// of requests, by default 1, must have a whole response. Wrong, doubled, falsely refused
+// and skipped requests always fail.
+func (h *harness) awaitLoad(ts script, args []string) error {
+	load := h.loads[args[0]]
+	if load == nil {
 		return fmt.Errorf("no load %q", args[0])
 	}
-	<-l.done
-	ev, err := w.collect()
+	<-load.done
+	evidence, err := h.collectEvidence()
 	if err != nil {
 		return err
 	}
-	rep := l.run.Report(ev)
+	report := load.run.Report(evidence)
 	var text bytes.Buffer
-	rep.Write(&text)
+	report.Write(&text)
 	ts.Logf("%s", text.String())
-	t := rep.Total
-	limit, err := numbers(args[1:], map[string]int{"lost": 0, "unknown": 0, "broken": 0, "refused": t.Sent, "whole": 1})
+	total := report.Total
+	limit, err := parseNumbers(args[1:], map[string]int{"lost": 0, "unknown": 0, "broken": 0, "refused": total.Sent, "whole": 1})
 	if err != nil {
 		return err
 	}
-	for name, got := range map[string]int{"lost": t.Lost, "unknown": t.Unknown, "broken": t.Broken, "refused": t.Refused} {
+	for name, got := range map[string]int{"lost": total.Lost, "unknown": total.Unknown, "broken": total.Broken, "refused": total.Refused} {
 		if got > limit[name] {
 			return fmt.Errorf("load %s: %d %s, want at most %d", args[0], got, name, limit[name])
 		}
 	}
-	if t.Wrong+t.Doubled+t.FalselyRefused+t.Skipped > 0 || t.Whole < limit["whole"] {
+	if total.Wrong+total.Doubled+total.FalselyRefused+total.Skipped > 0 || total.Whole < limit["whole"] {
 		return fmt.Errorf("load %s: wrong %d, doubled %d, falsely refused %d, skipped %d, whole %d (want at least %d)",
-			args[0], t.Wrong, t.Doubled, t.FalselyRefused, t.Skipped, t.Whole, limit["whole"])
+			args[0], total.Wrong, total.Doubled, total.FalselyRefused, total.Skipped, total.Whole, limit["whole"])
 	}
 	return nil
 }
 
-// reply is the outcome of one call.
-type reply struct {
+// callResult is the outcome of one call.
+type callResult struct {
 	verdict loadgen.Verdict
 	code    string
 }
 
-func (w *world) call(_ script, args []string) error {
-	r, err := w.fleet.Router(args[1])
+// call sends one keyed non-idempotent request in the background.
+func (h *harness) call(_ script, args []string) error {
+	r, err := h.fleet.Router(args[1])
 	if err != nil {
 		return err
 	}
@@ -137,18 +144,19 @@
 		return err
 	}
 	kind := &loadgen.Kind{Name: "call", Pool: fleetrun.ServicePool, Keyed: true}
-	j := &loadgen.Job{Tag: args[2], Kind: kind, Size: ms, Hint: 1}
-	out := make(chan reply, 1)
-	w.calls[args[0]] = out
+	job := &loadgen.Job{Tag: args[2], Kind: kind, Size: ms, Hint: 1}
+	out := make(chan callResult, 1)
+	h.calls[args[0]] = out
 	go func() {
-		v, code := w.plan(1).Send(w.ctx, j, r.Listen)
-		out <- reply{v, code}
+		verdict, code := h.newPlan(1).Send(h.ctx, job, r.Listen)
+		out <- callResult{verdict, code}
 	}()
 	return nil
 }
 
-func (w *world) reply(ts script, args []string) error {
-	out, ok := w.calls[args[0]]
+// reply waits for the result of a call and checks its verdict.
+func (h *harness) reply(ts script, args []string) error {
+	out, ok := h.calls[args[0]]
 	if !ok {
 		return fmt.Errorf("no call %q", args[0])
 	}
@@ -159,7 +167,7 @@
 			return fmt.Errorf("call %s: %s (%s), want one of %v", args[0], r.verdict, r.code, args[1:])
 		}
 		return nil
-	case <-time.After(patience):
-		return fmt.Errorf("call %s: no reply within %v", args[0], patience)
+	case <-time.After(waitTimeout):
+		return fmt.Errorf("call %s: no reply within %v", args[0], waitTimeout)
 	}
 }
