--- a/internal/consensus/codec.go
+++ b/internal/consensus/codec.go
@@ -80,13 +80,13 @@
 
 // numberFields returns pointers to the numeric fields in the order of the binary form.
 func numberFields(m *Message) []*uint64 {
-	return []*uint64{&m.Term, &m.Commit, &m.Index, &m.LogTerm, &m.Hint, &m.Read, &m.Offset, &m.Total}
+	return []*uint64{&m.Term, &m.Commit, &m.Index, &m.LogTerm, &m.Hint, &m.ReadSeq, &m.Offset, &m.Total}
 }
 
 // fieldMask returns the mask of the fields of a message that are not zero.
 func fieldMask(m *Message) uint64 {
 	var mask uint64
-	for i, set := range [...]bool{m.Reject, m.Force, m.Reply, len(m.Entries) > 0, len(m.Chunk) > 0} {
+	for i, set := range [...]bool{m.Reject, m.LeaderTransfer, m.WantReply, len(m.Entries) > 0, len(m.Chunk) > 0} {
 		if set {
 			mask |= maskReject << i
 		}
@@ -105,7 +105,7 @@
 	d := decoder{b: b}
 	m := Message{Type: MessageType(d.byte())}
 	mask := d.uvarint()
-	m.Reject, m.Force, m.Reply = mask&maskReject != 0, mask&maskForce != 0, mask&maskReply != 0
+	m.Reject, m.LeaderTransfer, m.WantReply = mask&maskReject != 0, mask&maskForce != 0, mask&maskReply != 0
 	m.From, m.To = string(d.bytes()), string(d.bytes())
 	for i, v := range numberFields(&m) {
 		if mask&(maskNumbers<<i) != 0 {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -15,7 +15,7 @@
 		if v.ID == n.cfg.ID {
 			continue
 		}
-		n.send(Message{Type: kind, To: v.ID, Term: term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), Force: force})
+		n.send(Message{Type: kind, To: v.ID, Term: term, Index: n.log.lastIndex(), LogTerm: n.log.lastTerm(), LeaderTransfer: force})
 	}
 	n.countVotes()
 }
@@ -105,8 +105,8 @@
 		n.handleAppend(m)
 	case MsgHeartbeat:
 		n.log.commit = max(n.log.commit, min(m.Commit, n.log.lastIndex()))
-		if m.Reply {
-			n.send(Message{Type: MsgHeartbeatReply, To: m.From, Read: m.Read})
+		if m.WantReply {
+			n.send(Message{Type: MsgHeartbeatReply, To: m.From, ReadSeq: m.ReadSeq})
 		}
 	case MsgSnapshot:
 		n.handleSnapshot(m)
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -62,7 +62,7 @@
 	s.checkConverged()
 	is.Equal(s.leader(), l)                   // no election on return
 	is.Equal(s.replicas[l].node.Term(), term) // pre-vote changed no term
-	is.Equal(s.replicas[old].node.Last(), s.replicas[l].node.Last())
+	is.Equal(s.replicas[old].node.LastIndex(), s.replicas[l].node.LastIndex())
 }
 
 // TestReadNeedsQuorum guards against a stale read: an isolated leader serves it while
@@ -107,13 +107,13 @@
 	drain()
 	is.Equal(n.Role(), Leader)
 	n.Step(Message{Type: MsgAppendReply, From: "b", To: "a", Term: 3, Index: 2})
-	is.Equal(n.Commit(), uint64(1))                                             // a quorum has entry 2, but of term 2
+	is.Equal(n.CommitIndex(), uint64(1))                                        // a quorum has entry 2, but of term 2
 	is.Equal(n.ReadIndex(1), ErrNotReady)                                       // commit may lag behind
 	is.Equal(n.ProposeChange(Change{AddLearner, Member{ID: "d"}}), ErrNotReady) // changes could overlap
 	n.Step(Message{Type: MsgAppendReply, From: "b", To: "a", Term: 3, Index: 3})
-	is.Equal(n.Commit(), uint64(3)) // the entry of term 3 commits both
+	is.Equal(n.CommitIndex(), uint64(3)) // the entry of term 3 commits both
 	is.NoErr(n.ProposeChange(Change{AddLearner, Member{ID: "d"}}))
-	is.Equal(n.ProposeChange(Change{AddLearner, Member{ID: "e"}}), ErrPending)
+	is.Equal(n.ProposeChange(Change{AddLearner, Member{ID: "e"}}), ErrChangePending)
 }
 
 // newFollower returns a follower in term 3 with entries 2 to 5 of term 2.
@@ -162,8 +162,8 @@
 				m.Term = 3
 			}
 			n.Step(m)
-			is.Equal(n.Commit(), tc.commit)
-			is.Equal(n.Last(), tc.last)
+			is.Equal(n.CommitIndex(), tc.commit)
+			is.Equal(n.LastIndex(), tc.last)
 		})
 	}
 }
@@ -184,7 +184,7 @@
 		"log of an earlier term":    {nil, with(func(m *Message) { m.Index, m.LogTerm = 9, 1 }), false},
 		"second candidate":          {[]Message{with(func(m *Message) { m.From, m.To = "c", "a" })}, vote, false},
 		"leader known":              {[]Message{heartbeat}, vote, false},
-		"transfer by the leader":    {[]Message{heartbeat}, with(func(m *Message) { m.Force = true }), true},
+		"transfer by the leader":    {[]Message{heartbeat}, with(func(m *Message) { m.LeaderTransfer = true }), true},
 		"pre-vote, leader known":    {[]Message{heartbeat}, with(func(m *Message) { m.Type = MsgPreVote }), false},
 		"pre-vote, no known leader": {nil, with(func(m *Message) { m.Type = MsgPreVote }), true},
 	}
@@ -201,7 +201,7 @@
 			rd := n.Ready()
 			granted := len(rd.Messages) == 1 && !rd.Messages[0].Reject
 			is.Equal(granted, tc.granted)
-			is.Equal(rd.Hard != nil && rd.Hard.Vote == "b", granted && tc.msg.Type == MsgVote) // durable before it is sent
+			is.Equal(rd.HardState != nil && rd.HardState.Vote == "b", granted && tc.msg.Type == MsgVote) // durable before it is sent
 		})
 	}
 }
@@ -267,14 +267,14 @@
 	s := newSeededSim(t, 3)
 	s.commitCommands(5)
 	l := s.waitLeader()
-	is.True(s.replicas[l].node.Transfer())
+	is.True(s.replicas[l].node.TransferLeadership())
 	_, _, err := s.replicas[l].node.Propose(nil)
-	is.True(errors.Is(err, ErrTransfer))
+	is.True(errors.Is(err, ErrTransferring))
 	s.runTicks(3)
 	is.True(s.leader() != "" && s.leader() != l)
 	s.commitCommands(5)
 	s.checkConverged()
-	is.True(!newSeededSim(t, 1).replicas["r0"].node.Transfer()) // no other voter
+	is.True(!newSeededSim(t, 1).replicas["r0"].node.TransferLeadership()) // no other voter
 }
 
 // FuzzDecodeMessage guards against panics and unbounded memory on malformed
--- a/internal/consensus/generated_test.go
+++ b/internal/consensus/generated_test.go
@@ -53,7 +53,7 @@
 	case a < 35:
 		s.partition[id] = rapid.IntRange(0, 1).Draw(t, "part")
 	case a < 36 && r.node != nil:
-		r.node.Transfer()
+		r.node.TransferLeadership()
 	case a < 38:
 		s.changeMembership(t)
 	case r.node == nil:
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -63,13 +63,13 @@
 // Propose appends a command and returns the index and the term of its entry. The
 // command is committed once Ready.Committed has an entry with this index and term; an
 // entry with this index and another term means that the command is lost. Propose
-// fails with ErrNotLeader, or with ErrTransfer during a leadership transfer.
+// fails with ErrNotLeader, or with ErrTransferring during a leadership transfer.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
 	if n.transfer.transferee != "" {
-		return 0, 0, ErrTransfer
+		return 0, 0, ErrTransferring
 	}
 	e := n.appendEntry(EntryCommand, data)
 	return e.Index, e.Term, nil
@@ -114,9 +114,9 @@
 func (n *Node) sendHeartbeats() {
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		m := Message{Type: MsgHeartbeat, To: id, Commit: min(p.match, n.log.commit), Reply: n.wantsHeartbeatReply(p)}
+		m := Message{Type: MsgHeartbeat, To: id, Commit: min(p.match, n.log.commit), WantReply: n.wantsHeartbeatReply(p)}
 		if len(n.reads.pending) > 0 {
-			m.Read = n.reads.seq
+			m.ReadSeq = n.reads.seq
 		}
 		n.send(m)
 	}
@@ -199,7 +199,7 @@
 // entries although nothing was sent for resendAfterHeartbeats, it sends again. A peer in
 // stateReplicate rejects entries after a gap, which resets p.next.
 func (n *Node) handleHeartbeatReply(m Message, p *progress) {
-	p.confirmedReadSeq = max(p.confirmedReadSeq, m.Read)
+	p.confirmedReadSeq = max(p.confirmedReadSeq, m.ReadSeq)
 	n.confirmReads()
 	if n.now-p.lastSentTick < resendAfterHeartbeats*uint64(n.cfg.HeartbeatTicks) {
 		return // the reply may still arrive: large messages take time
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -20,9 +20,9 @@
 }
 
 // ProposeChange appends a membership change, which is in force at once. It fails with
-// ErrNotLeader or ErrTransfer like Propose, with ErrPending while an earlier change is
+// ErrNotLeader or ErrTransferring like Propose, with ErrChangePending while an earlier change is
 // not committed, with ErrNotReady while the first entry of the leader's term is not
-// committed, and with ErrChange if the change does not fit the membership. A change
+// committed, and with ErrInvalidChange if the change does not fit the membership. A change
 // before that first commit could overlap with one of an earlier leader, and the quorums
 // of the two might not intersect.
 func (n *Node) ProposeChange(c Change) error {
@@ -30,15 +30,15 @@
 	case n.role != Leader:
 		return ErrNotLeader
 	case n.transfer.transferee != "":
-		return ErrTransfer
+		return ErrTransferring
 	case n.log.membershipIndex() > n.log.commit:
-		return ErrPending
+		return ErrChangePending
 	case !n.committedInTerm():
 		return ErrNotReady
 	}
 	m, ok := n.members().apply(c)
 	if !ok {
-		return ErrChange
+		return ErrInvalidChange
 	}
 	n.appendEntry(EntryMembers, EncodeMembership(m))
 	n.syncPeers()
@@ -73,12 +73,12 @@
 	return ok && t == n.term
 }
 
-// Transfer starts a transfer of the leadership to the connected voter with the newest
+// TransferLeadership starts a transfer of the leadership to the connected voter with the newest
 // log. Once that voter has the whole log, it is sent MsgTimeoutNow. Proposals fail with
-// ErrTransfer meanwhile. After ElectionTicks without a new leader the transfer is given
-// up. Transfer returns false if the node is not the leader or if no other voter has
+// ErrTransferring meanwhile. After ElectionTicks without a new leader the transfer is given
+// up. TransferLeadership returns false if the node is not the leader or if no other voter has
 // replied within ElectionTicks.
-func (n *Node) Transfer() bool {
+func (n *Node) TransferLeadership() bool {
 	if n.role != Leader {
 		return false
 	}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -45,11 +45,11 @@
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Commit returns the newest index that the node knows to be committed.
-func (n *Node) Commit() uint64 { return n.log.commit }
+// CommitIndex returns the newest index that the node knows to be committed.
+func (n *Node) CommitIndex() uint64 { return n.log.commit }
 
-// Last returns the index of the last entry in the log.
-func (n *Node) Last() uint64 { return n.log.lastIndex() }
+// LastIndex returns the index of the last entry in the log.
+func (n *Node) LastIndex() uint64 { return n.log.lastIndex() }
 
 // Members returns the newest membership in the log. It is in force although its
 // entry may not be committed yet.
@@ -59,13 +59,13 @@
 // before the oldest entry in memory it returns the oldest membership known.
 func (n *Node) MembersAt(index uint64) Membership { return n.log.membersAt(index) }
 
-// Empty reports whether the log has neither a snapshot nor an entry, as in a replica
+// HasNoLog reports whether the log has neither a snapshot nor an entry, as in a replica
 // that has never been part of a group.
-func (n *Node) Empty() bool { return n.log.lastIndex() == 0 }
+func (n *Node) HasNoLog() bool { return n.log.lastIndex() == 0 }
 
-// SilentTicks returns the ticks since the last message from a leader, or since the
+// TicksSinceLeader returns the ticks since the last message from a leader, or since the
 // start if there was none. It is 0 on the leader.
-func (n *Node) SilentTicks() uint64 {
+func (n *Node) TicksSinceLeader() uint64 {
 	if n.role == Leader {
 		return 0
 	}
@@ -105,8 +105,8 @@
 // resetTimer restarts the election timer with a new random timeout.
 func (n *Node) resetTimer() {
 	ticks := n.cfg.ElectionTicks
-	if !n.hadLeader && n.cfg.FirstTicks > 0 {
-		ticks = n.cfg.FirstTicks
+	if !n.hadLeader && n.cfg.InitialElectionTicks > 0 {
+		ticks = n.cfg.InitialElectionTicks
 	}
 	n.timerResetTick = n.now
 	n.electionTimeout = uint64(ticks + n.cfg.Random(ticks))
@@ -170,7 +170,7 @@
 	case MsgPreVote, MsgVote:
 		// A replica with a recent leader ignores candidates, so that a replica that
 		// was isolated or removed does not disrupt the group.
-		if !m.Force && n.hasRecentLeader() {
+		if !m.LeaderTransfer && n.hasRecentLeader() {
 			return false
 		}
 		if m.Type == MsgVote {
@@ -227,7 +227,7 @@
 	n.replicate()
 	rd := Ready{Snapshot: n.unstableSnapshot, Messages: n.messages, Reads: n.reads.confirmed}
 	if h := n.hardState(); h != n.persistedHardState {
-		rd.Hard = &h
+		rd.HardState = &h
 	}
 	rd.Entries = n.log.slice(n.log.stable+1, n.log.lastIndex(), 0)
 	rd.Committed = n.log.slice(n.log.applied+1, n.maxAppliableIndex(), 0)
@@ -238,8 +238,8 @@
 // messages are sent and its entries are applied.
 func (n *Node) Advance(rd Ready) {
 	n.messages, n.unstableSnapshot, n.reads.confirmed = nil, nil, nil
-	if rd.Hard != nil {
-		n.persistedHardState = *rd.Hard
+	if rd.HardState != nil {
+		n.persistedHardState = *rd.HardState
 	}
 	if k := len(rd.Committed); k > 0 {
 		n.log.applied = rd.Committed[k-1].Index
@@ -279,8 +279,8 @@
 	return n.log.slice(max(after, n.log.base.index)+1, n.log.stable, 0)
 }
 
-// Hard returns the hard state that is durable as of the last Advance.
-func (n *Node) Hard() HardState { return n.persistedHardState }
+// HardState returns the hard state that is durable as of the last Advance.
+func (n *Node) HardState() HardState { return n.persistedHardState }
 
 // SnapshotIndex returns the index of the newest snapshot, or 0 if there is none.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snap.Index }
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -38,7 +38,7 @@
 	partition map[string]int // replica -> part of the network; messages do not cross parts
 
 	suspended            string // replica whose process does not run for a while, "" if none
-	initialElectionTicks int    // FirstTicks of replicas that start from now on
+	initialElectionTicks int    // InitialElectionTicks of replicas that start from now on
 
 	leaders        map[uint64]string // term -> leader
 	committed      []Entry           // first applied by any replica; position 0 is index 2
@@ -96,7 +96,7 @@
 
 func (s *sim) start(id string) {
 	r := s.replicas[id]
-	cfg := Config{ID: id, ElectionTicks: 10, FirstTicks: s.initialElectionTicks, HeartbeatTicks: 2, MaxAppendBytes: 64, ChunkBytes: 5, Random: s.random}
+	cfg := Config{ID: id, ElectionTicks: 10, InitialElectionTicks: s.initialElectionTicks, HeartbeatTicks: 2, MaxAppendBytes: 64, ChunkBytes: 5, Random: s.random}
 	r.node = New(cfg, r.hard, r.snap, slices.Clone(r.entries))
 	r.applied, r.checksum = r.snap.Index, decodeChecksum(r.snap.Data)
 }
@@ -142,8 +142,8 @@
 }
 
 func (r *replica) persist(rd Ready) {
-	if rd.Hard != nil {
-		r.hard = *rd.Hard
+	if rd.HardState != nil {
+		r.hard = *rd.HardState
 	}
 	if rd.Snapshot != nil {
 		r.snap, r.entries = *rd.Snapshot, slices.Clone(r.node.Entries(rd.Snapshot.Index))
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -113,23 +113,23 @@
 //   - MsgAppendReply: the matched or rejected index
 //   - MsgSnapshot, MsgSnapshotReply: the index of the snapshot
 type Message struct {
-	Type    MessageType
-	From    string
-	To      string
-	Term    uint64
-	Index   uint64 // see above
-	LogTerm uint64 // term of the entry at Index; in a rejected append of the entry at Hint
-	Commit  uint64 // append, heartbeat: commit index of the leader; see sendHeartbeats
-	Reject  bool   // replies: the vote or append is rejected
-	Hint    uint64 // rejected append: newest index at which the logs may agree
-	Force   bool   // vote: part of a leadership transfer, so a known leader is no reason to ignore it
-	Reply   bool   // heartbeat: a reply is requested
-	Read    uint64 // heartbeats: newest sequence number of the reads that a reply confirms
-	Entries []Entry
-	Offset  uint64     // snapshot: position of Chunk in bytes; reply: bytes received
-	Total   uint64     // snapshot: length of the whole data in bytes
-	Chunk   []byte     // snapshot: part of its data
-	Members Membership // snapshot: membership at Index
+	Type           MessageType
+	From           string
+	To             string
+	Term           uint64
+	Index          uint64 // see above
+	LogTerm        uint64 // term of the entry at Index; in a rejected append of the entry at Hint
+	Commit         uint64 // append, heartbeat: commit index of the leader; see sendHeartbeats
+	Reject         bool   // replies: the vote or append is rejected
+	Hint           uint64 // rejected append: newest index at which the logs may agree
+	LeaderTransfer bool   // vote: part of a leadership transfer, so a known leader is no reason to ignore it
+	WantReply      bool   // heartbeat: a reply is requested
+	ReadSeq        uint64 // heartbeats: newest sequence number of the reads that a reply confirms
+	Entries        []Entry
+	Offset         uint64     // snapshot: position of Chunk in bytes; reply: bytes received
+	Total          uint64     // snapshot: length of the whole data in bytes
+	Chunk          []byte     // snapshot: part of its data
+	Members        Membership // snapshot: membership at Index
 }
 
 // Role is the role of a node in its current term.
@@ -153,7 +153,7 @@
 // Ready is the work that the caller must do, in the order that the package comment
 // gives.
 type Ready struct {
-	Hard      *HardState // nil if unchanged
+	HardState *HardState // nil if unchanged
 	Snapshot  *Snapshot  // received from the leader; nil if none
 	Entries   []Entry    // to append to the stored log; replace its entries from Entries[0].Index on
 	Messages  []Message  // to send
@@ -168,10 +168,10 @@
 	// ElectionTicks is the shortest election timeout in ticks. Each timeout is
 	// random: at least this value, less than twice this value.
 	ElectionTicks int
-	// FirstTicks replaces ElectionTicks for election timeouts until the node knows a
+	// InitialElectionTicks replaces ElectionTicks for election timeouts until the node knows a
 	// leader for the first time since its start, so that a group whose replicas were
 	// all stopped soon elects a leader. 0 means ElectionTicks.
-	FirstTicks int
+	InitialElectionTicks int
 	// HeartbeatTicks is the interval of the leader's heartbeats in ticks.
 	HeartbeatTicks int
 	// MaxAppendBytes bounds the entry data of one message in bytes. A single larger
@@ -185,9 +185,9 @@
 
 // Errors of proposals, membership changes and reads.
 var (
-	ErrNotLeader = errors.New("consensus: not the leader")
-	ErrTransfer  = errors.New("consensus: leadership is being transferred")
-	ErrNotReady  = errors.New("consensus: leader has not committed an entry of its term yet")
-	ErrPending   = errors.New("consensus: a membership change is pending")
-	ErrChange    = errors.New("consensus: invalid membership change")
+	ErrNotLeader     = errors.New("consensus: not the leader")
+	ErrTransferring  = errors.New("consensus: leadership is being transferred")
+	ErrNotReady      = errors.New("consensus: leader has not committed an entry of its term yet")
+	ErrChangePending = errors.New("consensus: a membership change is pending")
+	ErrInvalidChange = errors.New("consensus: invalid membership change")
 )
--- a/internal/fairness/estimate.go
+++ b/internal/fairness/estimate.go
@@ -24,12 +24,12 @@
 	MaxCost = 1e7
 )
 
-// Kinds is the number of cost classes, ClassUnknown included.
-const Kinds = 4
+// NumCostClasses is the number of cost classes, ClassUnknown included.
+const NumCostClasses = 4
 
-// Kind returns the index of a cost class, from 0 to Kinds-1. Unrecognised classes
-// count as ClassUnknown, which has index 0.
-func Kind(c api.CostClass) int {
+// CostClassIndex returns the index of a cost class, from 0 to NumCostClasses-1. Unrecognised
+// classes count as ClassUnknown, which has index 0.
+func CostClassIndex(c api.CostClass) int {
 	switch c {
 	case api.ClassLong:
 		return 1
@@ -62,18 +62,18 @@
 }
 
 // Estimate returns the expected cost, in cost units, of a request of the workspace.
-// kind is an index that Kind returns. hint is the caller's estimate, 0 if there is
-// none; it is ignored once the workspace has enough completions of the kind.
-func (t *Table) Estimate(w *Workspace, kind int, hint float64) float64 {
-	if m := w.meansByKind[kind]; m.count >= minSamples {
+// class is an index that CostClassIndex returns. hint is the caller's estimate, 0 if there is
+// none; it is ignored once the workspace has enough completions of the class.
+func (t *Table) Estimate(w *Workspace, class int, hint float64) float64 {
+	if m := w.meansByClass[class]; m.count >= minSamples {
 		return m.value
 	}
-	pool := t.meansByKind[kind]
+	pool := t.meansByClass[class]
 	switch {
 	case hint > 0 && pool.count >= minSamples:
 		return clampCost(math.Min(math.Max(hint, pool.value/maxHintFactor), pool.value*maxHintFactor))
 	case hint > 0:
-		// The mean over all kinds does not bound the hint: cheap requests complete
+		// The mean over all classes does not bound the hint: cheap requests complete
 		// first, so early means are far below the cost of a long request.
 		return clampCost(hint)
 	case pool.count > 0:
@@ -85,8 +85,8 @@
 }
 
 // recordCost updates the moving means with the true cost of a completed request.
-func (t *Table) recordCost(w *Workspace, kind int, cost float64) {
-	w.meansByKind[kind].add(cost)
-	t.meansByKind[kind].add(cost)
+func (t *Table) recordCost(w *Workspace, class int, cost float64) {
+	w.meansByClass[class].add(cost)
+	t.meansByClass[class].add(cost)
 	t.overallMean.add(cost)
 }
--- a/internal/fairness/rows.go
+++ b/internal/fairness/rows.go
@@ -5,13 +5,13 @@
 	"sort"
 )
 
-// Row is the entry of one workspace in a copy of the table. Ahead is its virtual
-// service minus the pool's virtual time. Learned holds its mean cost per kind, in
-// cost units, 0 after fewer than minSamples completions.
+// Row is the entry of one workspace in a copy of the table. RelativeService is its virtual
+// service minus the pool's virtual time. MeanCosts holds its mean cost per cost class,
+// in cost units, 0 after fewer than minSamples completions.
 type Row struct {
-	Workspace string
-	Ahead     float64
-	Learned   [Kinds]float64
+	Workspace       string
+	RelativeService float64
+	MeanCosts       [NumCostClasses]float64
 }
 
 // minReportedDebt is the debt above which Rows includes a workspace that is not
@@ -26,10 +26,10 @@
 		if !all && w.heapIndex < 0 && (w.virtualService-t.virtualTime)*w.weight <= minReportedDebt*t.overallMean.value {
 			continue
 		}
-		row := Row{Workspace: w.Name, Ahead: w.virtualService - t.virtualTime}
-		for k, m := range w.meansByKind {
+		row := Row{Workspace: w.Name, RelativeService: w.virtualService - t.virtualTime}
+		for k, m := range w.meansByClass {
 			if m.count >= minSamples {
-				row.Learned[k] = m.value
+				row.MeanCosts[k] = m.value
 			}
 		}
 		dst = append(dst, row)
@@ -51,15 +51,15 @@
 	}
 	t.virtualTime = math.Max(t.virtualTime, virtualTime)
 	for _, r := range rows {
-		if !finite(r.Ahead) {
+		if !finite(r.RelativeService) {
 			continue
 		}
 		w := t.Get(r.Workspace)
-		w.virtualService = t.virtualTime + r.Ahead
-		for k, v := range r.Learned {
+		w.virtualService = t.virtualTime + r.RelativeService
+		for k, v := range r.MeanCosts {
 			if v > 0 && finite(v) {
-				w.meansByKind[k] = movingMean{clampCost(v), minSamples}
-				t.meansByKind[k].add(clampCost(v))
+				w.meansByClass[k] = movingMean{clampCost(v), minSamples}
+				t.meansByClass[k].add(clampCost(v))
 				t.overallMean.add(clampCost(v))
 			}
 		}
--- a/internal/fairness/table.go
+++ b/internal/fairness/table.go
@@ -17,8 +17,8 @@
 	weight         float64
 	virtualService float64 // service per weight, in cost units; includes the estimates of running requests
 	settledCost    float64 // cost of settled requests, in cost units
-	meansByKind    [Kinds]movingMean
-	creditTicks    int    // calls of Forget until the credit kept by Suspend expires
+	meansByClass   [NumCostClasses]movingMean
+	creditTicks    int    // calls of RemoveIdle until the credit kept by DeactivateKeepingCredit expires
 	fromCopy       bool   // Load has restored the account from the previous owner's table
 	heapIndex      int    // index in Table.heap; -1 if not backlogged
 	activation     uint64 // Table.activations when the workspace became backlogged; breaks ties
@@ -38,13 +38,13 @@
 // Table holds the accounts of all workspaces of one pool. It is not safe for
 // concurrent use.
 type Table struct {
-	byName      map[string]*Workspace
-	weights     map[string]float64
-	heap        []*Workspace // backlogged workspaces, smallest virtual service first
-	virtualTime float64      // largest virtual service at which a request was charged, or restored by Load
-	activations uint64
-	meansByKind [Kinds]movingMean
-	overallMean movingMean
+	byName       map[string]*Workspace
+	weights      map[string]float64
+	heap         []*Workspace // backlogged workspaces, smallest virtual service first
+	virtualTime  float64      // largest virtual service at which a request was charged, or restored by Load
+	activations  uint64
+	meansByClass [NumCostClasses]movingMean
+	overallMean  movingMean
 }
 
 // New returns an empty table.
@@ -85,7 +85,7 @@
 
 // Activate marks a workspace as backlogged. A workspace that was idle keeps its debt
 // but loses its credit: its virtual service is raised to the pool's virtual time.
-// One that Suspend has marked keeps both until its credit expires.
+// One that DeactivateKeepingCredit has marked keeps both until its credit expires.
 func (t *Table) Activate(w *Workspace) {
 	if w.heapIndex >= 0 {
 		return
@@ -106,10 +106,11 @@
 	}
 }
 
-// Suspend marks a workspace as not backlogged because its instance is unreachable
-// or has restarted, not because it has no waiting requests. The workspace keeps its
-// credit until the second call of Forget, or until Forget deletes its account.
-func (t *Table) Suspend(w *Workspace) {
+// DeactivateKeepingCredit marks a workspace as not backlogged because its instance is
+// unreachable or has restarted, not because it has no waiting requests. The workspace
+// keeps its credit until the second call of RemoveIdle, or until RemoveIdle deletes its
+// account.
+func (t *Table) DeactivateKeepingCredit(w *Workspace) {
 	t.Deactivate(w)
 	w.creditTicks = 2
 }
@@ -123,9 +124,9 @@
 }
 
 // Charge adds the estimated cost of a granted request to the workspace and returns
-// it, in cost units. kind and hint are the arguments of Estimate.
-func (t *Table) Charge(w *Workspace, kind int, hint float64) float64 {
-	est := t.Estimate(w, kind, hint)
+// it, in cost units. class and hint are the arguments of Estimate.
+func (t *Table) Charge(w *Workspace, class int, hint float64) float64 {
+	est := t.Estimate(w, class, hint)
 	t.virtualTime = math.Max(t.virtualTime, w.virtualService)
 	w.Running++
 	t.addService(w, est)
@@ -137,7 +138,7 @@
 
 // Settle replaces the estimate of a finished request by its true cost, both in cost
 // units. If the cost is not known, the estimate stays and the means do not change.
-func (t *Table) Settle(w *Workspace, kind int, est, cost float64, known bool) {
+func (t *Table) Settle(w *Workspace, class int, est, cost float64, known bool) {
 	w.Running--
 	if !known {
 		w.settledCost += est
@@ -145,7 +146,7 @@
 	}
 	cost = clampCost(cost)
 	w.settledCost += cost
-	t.recordCost(w, kind, cost)
+	t.recordCost(w, class, cost)
 	t.addService(w, cost-est)
 }
 
@@ -163,11 +164,11 @@
 	}
 }
 
-// Forget deletes the accounts without debt, backlog, running requests and configured
+// RemoveIdle deletes the accounts without debt, backlog, running requests and configured
 // weight, so that the table does not grow with every workspace name. It must be
 // called once a second, because it also counts down to the expiry of the credit that
-// Suspend keeps.
-func (t *Table) Forget() {
+// DeactivateKeepingCredit keeps.
+func (t *Table) RemoveIdle() {
 	for name, w := range t.byName {
 		w.creditTicks = max(0, w.creditTicks-1)
 		_, configured := t.weights[name]
--- a/internal/fairness/table_test.go
+++ b/internal/fairness/table_test.go
@@ -107,7 +107,7 @@
 	}
 	table.Activate(idle)
 	is.Equal(idle.Virtual(), table.VirtualTime()) // no credit
-	table.Forget()
+	table.RemoveIdle()
 	table.Activate(table.Get("debtor"))
 	is.Equal(table.Get("debtor").Virtual(), 5000.0) // debt is kept
 	is.Equal(table.Min(), idle)
@@ -128,7 +128,7 @@
 	is.Equal(table.Estimate(w, 0, 5), 20.0)                // a fifth of the pool's mean
 	is.Equal(table.Estimate(w, 0, 5e6), 500.0)             // five times the pool's mean
 	is.Equal(table.Estimate(w, 0, 0), 100.0)               // the pool's mean
-	is.Equal(table.Estimate(w, 1, 5e3), 5e3)               // completions of another kind do not bound the hint
+	is.Equal(table.Estimate(w, 1, 5e3), 5e3)               // completions of another class do not bound the hint
 	is.Equal(table.Estimate(other, 0, 5), 100.0)           // hints are ignored after enough completions
 	table.Settle(w, 0, 0, math.NaN(), true)                // counts as the smallest cost
 	is.True(!math.IsNaN(w.Virtual()) && w.Virtual() < 1.0) // NaN does not reach the account
@@ -159,7 +159,7 @@
 	is.Equal(restored.Get("new").Virtual(), previous.VirtualTime()+5)
 	is.Equal(restored.Min().Name, "b")
 	is.Equal(restored.Estimate(restored.Get("a"), 2, 1), 40.0)
-	restored.Load(previous.VirtualTime(), []Row{{Workspace: "b", Ahead: math.NaN()}})
+	restored.Load(previous.VirtualTime(), []Row{{Workspace: "b", RelativeService: math.NaN()}})
 	is.Equal(restored.Get("b").Virtual(), b.Virtual())
 }
 
@@ -180,6 +180,6 @@
 	w.virtualService = 10
 	table.Activate(w)
 	table.Charge(w, 0, 1)
-	table.Forget()
+	table.RemoveIdle()
 	is.Equal(table.Len(), 1)
 }
--- a/internal/fleetstate/claims.go
+++ b/internal/fleetstate/claims.go
@@ -19,9 +19,9 @@
 	maxStoredBodyBytes = 32 << 20
 )
 
-// ErrClaimsFull is the Error of a Result for a claim that is refused because the maximum
+// claimsFullText is the Error of a Result for a claim that is refused because the maximum
 // number of claims is stored.
-const ErrClaimsFull = "fleetstate: too many claims are stored"
+const claimsFullText = "fleetstate: too many claims are stored"
 
 // claimReleased is the state of a claim whose request was certainly not run. The claim is
 // kept until it expires, so that a delayed copy of the holder's claim command does not
@@ -93,7 +93,7 @@
 	case ok && existing.State == api.ClaimRunning:
 		return Result{Claim: &api.ClaimResult{State: api.ClaimRunning}}
 	case !ok && len(c.expiryOrder) >= c.maxClaims:
-		return Result{Error: ErrClaimsFull}
+		return Result{Error: claimsFullText}
 	}
 	if !ok {
 		existing = &claim{QueuedMs: nowMs}
--- a/internal/fleetstate/moves.go
+++ b/internal/fleetstate/moves.go
@@ -21,9 +21,9 @@
 // MoveID returns the identity of a move. A move with another out time is another move.
 func MoveID(m fleetconfig.Move) string { return m.Name + "|" + m.DataCentre + "|" + m.OutAt }
 
-// Due returns the steps of planned moves that are due at a Unix time in milliseconds, at
+// DueMoveSteps returns the steps of planned moves that are due at a Unix time in milliseconds, at
 // most one per move.
-func (s *State) Due(unixMs int64) []MoveStep {
+func (s *State) DueMoveSteps(unixMs int64) []MoveStep {
 	if s.config == nil {
 		return nil
 	}
@@ -103,7 +103,7 @@
 	if _, out := s.outOfService[m.DataCentre]; out {
 		return MoveOut // by an operator or another move, whose change stays in force after this move
 	}
-	if _, ok := s.EmptyPool(m.DataCentre); !ok {
+	if _, ok := s.poolWithoutTargets(m.DataCentre); !ok {
 		return MoveSkipped
 	}
 	s.outOfService[m.DataCentre] = id
@@ -121,10 +121,10 @@
 	return MoveBack
 }
 
-// EmptyPool returns the name of a pool that would lose its last target in service without
-// the data centre, and false. It returns true if there is no such pool. A document must
+// poolWithoutTargets returns the name of a pool that would lose its last target in service
+// without the data centre, and false. It returns true if there is no such pool. A document must
 // have been accepted.
-func (s *State) EmptyPool(dc string) (pool string, ok bool) {
+func (s *State) poolWithoutTargets(dc string) (pool string, ok bool) {
 	retained, affected := map[string]bool{}, map[string]bool{}
 	for _, t := range s.config.Targets {
 		if t.DataCentre == dc {
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -73,8 +73,8 @@
 // Revision returns the number of the newest revision, or 0 if there is none.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Change returns the stored result of a change id, or false if there is none.
-func (s *State) Change(id string) (api.SubmitResult, bool) {
+// ChangeResult returns the stored result of a change id, or false if there is none.
+func (s *State) ChangeResult(id string) (api.SubmitResult, bool) {
 	r, ok := s.changes[id]
 	return r, ok
 }
@@ -106,9 +106,9 @@
 type poolEpochs struct {
 	Pool string `json:"pool"`
 	Last uint64 `json:"last"`
-	// Drawn holds the newest tokens, oldest first, so that a resent command gets the
+	// Issued holds the newest tokens, oldest first, so that a resent command gets the
 	// same token again.
-	Drawn []issuedEpoch `json:"drawn"`
+	Issued []issuedEpoch `json:"drawn"`
 }
 
 // issuedEpoch is a fencing token with the identity of the command that obtained it.
@@ -129,15 +129,15 @@
 		e = &poolEpochs{Pool: pool}
 		s.epochs[pool] = e
 	}
-	for _, d := range e.Drawn {
+	for _, d := range e.Issued {
 		if d.ID == id {
 			return d.Epoch
 		}
 	}
 	e.Last++
-	e.Drawn = append(e.Drawn, issuedEpoch{id, e.Last})
-	if len(e.Drawn) > maxIssuedEpochs {
-		e.Drawn = slices.Delete(e.Drawn, 0, len(e.Drawn)-maxIssuedEpochs)
+	e.Issued = append(e.Issued, issuedEpoch{id, e.Last})
+	if len(e.Issued) > maxIssuedEpochs {
+		e.Issued = slices.Delete(e.Issued, 0, len(e.Issued)-maxIssuedEpochs)
 	}
 	return e.Last
 }
--- a/internal/fleetstate/state_test.go
+++ b/internal/fleetstate/state_test.go
@@ -145,7 +145,7 @@
 					submit(t, s, api.Submission{ChangeID: fmt.Sprint("op", i), Base: s.Revision(), DataCentre: tc.dc, Out: st.operator == "out"})
 				}
 				s = snapshotAndRestore(t, s)
-				due := s.Due(st.unixMs)
+				due := s.DueMoveSteps(st.unixMs)
 				r := apply(t, s, Command{UnixMs: st.unixMs, Move: &MoveStep{Move: MoveID(move(tc.dc)), Out: st.out}})
 				is.Equal(r.Move, st.want)
 				is.Equal(len(due) > 0 && due[0].Out == st.out, r.Move != MoveNone) // a step is due exactly if it has an effect
@@ -238,7 +238,7 @@
 	for i := range claimLimit {
 		s.claims.claim(&Claim{api.ClaimKey{Key: fmt.Sprint(i)}, "h"}, 1)
 	}
-	is.Equal(s.claims.claim(&Claim{api.ClaimKey{Key: "one more"}, "h"}, 1).Error, ErrClaimsFull)
+	is.Equal(s.claims.claim(&Claim{api.ClaimKey{Key: "one more"}, "h"}, 1).Error, claimsFullText)
 	is.Equal(s.claims.claim(&Claim{api.ClaimKey{Key: "1"}, "i"}, 1).Claim.State, api.ClaimRunning)
 }
 
--- a/internal/lease/claim.go
+++ b/internal/lease/claim.go
@@ -69,7 +69,7 @@
 // returns false if the node does not own the pool or has no valid instance lease.
 func (n *Node) Holds(now time.Duration, pool string) (uint64, bool) {
 	c := n.claims[pool]
-	if c == nil || !c.held(now) || !n.Valid(now) {
+	if c == nil || !c.held(now) || !n.LeaseValid(now) {
 		return 0, false
 	}
 	return c.heldEpoch, true
@@ -95,7 +95,7 @@
 // Without a valid instance lease there are none, so that an instance with an
 // outdated view loses its pools.
 func (n *Node) requests(now time.Duration) []Request {
-	if !n.Valid(now) {
+	if !n.LeaseValid(now) {
 		return nil
 	}
 	var out []Request
@@ -104,7 +104,7 @@
 		if !c.active {
 			continue
 		}
-		out = append(out, Request{Pool: pool, Epoch: c.epoch, Held: c.held(now) && c.heldEpoch == c.epoch, After: c.handedOverEpoch})
+		out = append(out, Request{Pool: pool, Epoch: c.epoch, Held: c.held(now) && c.heldEpoch == c.epoch, HandedOverEpoch: c.handedOverEpoch})
 	}
 	return out
 }
@@ -135,7 +135,7 @@
 	if grants >= n.majority {
 		n.heartbeatDue = n.heartbeatDue || c.heldEpoch != req.Epoch
 		c.heldEpoch, c.handedOverEpoch, c.lostRounds = req.Epoch, 0, 0
-		c.heldUntil = max(c.heldUntil, r.sentAt+HolderTime)
+		c.heldUntil = max(c.heldUntil, r.sentAt+HolderLeaseTime)
 	}
 }
 
@@ -175,7 +175,7 @@
 
 // Tick advances the node to the given time: it starts and ends rounds and
 // handovers. It must be called regularly and after each input. It reports whether
-// a heartbeat should be sent immediately instead of at the next BeatInterval.
+// a heartbeat should be sent immediately instead of at the next HeartbeatInterval.
 func (n *Node) Tick(now time.Duration) bool {
 	n.updateCaughtUp(now)
 	n.extendLeases(now)
@@ -199,7 +199,7 @@
 	case c.active && c.heldUntil > 0:
 		n.abandonClaim(now, pool, c)
 		return false
-	case c.active && now-c.roundStart < RoundTime:
+	case c.active && now-c.roundStart < RoundTimeout:
 		return false
 	case c.active && c.handedOverEpoch != 0 && c.handoverRounds < maxHandoverRounds:
 		c.roundStart, c.handoverRounds, c.epoch = now, c.handoverRounds+1, max(c.epoch, n.highestEpochs[pool]+1)
@@ -220,7 +220,7 @@
 	if c.heldUntil == 0 {
 		lostRounds = min(c.lostRounds+1, maxLostRounds)
 	}
-	backoff := RoundTime * time.Duration(1+lostRounds*n.rank(now, pool))
+	backoff := RoundTimeout * time.Duration(1+lostRounds*n.rank(now, pool))
 	*c = claim{epoch: c.epoch, lostRounds: lostRounds, backoffUntil: now + backoff}
 }
 
@@ -233,20 +233,20 @@
 	}
 }
 
-// tryStartRound starts a round once the pool has been without owner for Stagger
+// tryStartRound starts a round once the pool has been without owner for CandidateStagger
 // times this candidate's rank. It reports whether it started one.
 func (n *Node) tryStartRound(now time.Duration, pool string, c *claim) bool {
 	_, _, owned := n.Owner(now, pool)
 	v := n.votes[pool]
 	free := !owned && (v == nil || v.free(now))
-	if n.resigned || !free || !n.Valid(now) || !n.Witness(now) || now < c.backoffUntil {
+	if n.resigned || !free || !n.LeaseValid(now) || !n.IsWitness(now) || now < c.backoffUntil {
 		c.eligible = false
 		return false
 	}
 	if !c.eligible {
 		c.eligible, c.eligibleSince = true, now
 	}
-	if now < c.eligibleSince+time.Duration(n.rank(now, pool))*Stagger {
+	if now < c.eligibleSince+time.Duration(n.rank(now, pool))*CandidateStagger {
 		return false
 	}
 	*c = claim{active: true, epoch: n.highestEpoch(pool) + 1, roundStart: now, lostRounds: c.lostRounds}
@@ -267,12 +267,12 @@
 }
 
 // candidates returns the other instances that can own a pool: those whose newest
-// reply is at most ReportLife old and does not abstain.
+// reply is at most MaxReportAge old and does not abstain.
 func (n *Node) candidates(now time.Duration) []string {
 	var out []string
 	for _, name := range n.cfg.Instances {
 		p := n.peers[name]
-		if name != n.cfg.Self && p.replied && !p.abstains && now-p.replyHeartbeatSent <= ReportLife {
+		if name != n.cfg.Self && p.replied && !p.abstains && now-p.replyHeartbeatSent <= MaxReportAge {
 			out = append(out, name)
 		}
 	}
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -9,7 +9,7 @@
 // outputs are heartbeats, replies, and the state of leases and owners.
 //
 // A witness grants a request for LeaseTime. The holder uses the grants of a
-// majority for HolderTime, counted from the sending of its heartbeat. Each
+// majority for HolderLeaseTime, counted from the sending of its heartbeat. Each
 // ownership of a pool has an epoch, which rises with each new owner.
 //
 // Guarantees, for clocks that drift by at most MaxDrift:
@@ -31,30 +31,30 @@
 	// LeaseTime is how long a witness's grant excludes other candidates, counted
 	// from the receipt of the heartbeat.
 	LeaseTime = 2 * time.Second
-	// HolderTime is how long a holder relies on a majority of grants, counted
+	// HolderLeaseTime is how long a holder relies on a majority of grants, counted
 	// from the sending of its heartbeat: LeaseTime less a tenth, because the
 	// clocks of witness and holder may drift apart by up to twice MaxDrift.
-	HolderTime = LeaseTime - LeaseTime/10
-	// RestartTime is how long a witness abstains after a restart, so that the
+	HolderLeaseTime = LeaseTime - LeaseTime/10
+	// RestartAbstention is how long a witness abstains after a restart, so that the
 	// grants that it made before the restart have expired.
-	RestartTime = LeaseTime + LeaseTime/10
-	// BeatInterval is the time between two periodic heartbeats.
-	BeatInterval = 500 * time.Millisecond
-	// ReportLife is the maximum age of the newest reply of a peer, counted from
+	RestartAbstention = LeaseTime + LeaseTime/10
+	// HeartbeatInterval is the time between two periodic heartbeats.
+	HeartbeatInterval = 500 * time.Millisecond
+	// MaxReportAge is the maximum age of the newest reply of a peer, counted from
 	// the sending of the heartbeat that it replies to, up to which the reported
-	// revision and reply state are used. It is shorter than RestartTime less the
+	// revision and reply state are used. It is shorter than RestartAbstention less the
 	// drift, so that the report of an instance that lost its memory in a restart
 	// no longer counts when that instance votes again.
-	ReportLife = 1500 * time.Millisecond
-	// Stagger is the delay per rank before a candidate starts a round for a pool
+	MaxReportAge = 1500 * time.Millisecond
+	// CandidateStagger is the delay per rank before a candidate starts a round for a pool
 	// without owner, so that candidates do not split the votes.
-	Stagger = 100 * time.Millisecond
-	// RoundTime is how long a candidate waits for a majority of grants before
+	CandidateStagger = 100 * time.Millisecond
+	// RoundTimeout is how long a candidate waits for a majority of grants before
 	// its round is lost.
-	RoundTime = 300 * time.Millisecond
-	// HandoverTime is how long a resigned owner waits for its successor to
+	RoundTimeout = 300 * time.Millisecond
+	// HandoverTimeout is how long a resigned owner waits for its successor to
 	// announce the ownership before it releases its votes to all candidates.
-	HandoverTime = 500 * time.Millisecond
+	HandoverTimeout = 500 * time.Millisecond
 )
 
 // MaxDrift is the maximum tolerated deviation of a clock's rate from real time,
--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -20,7 +20,7 @@
 		to := n.successor(now, pool)
 		if c.held(now) && to != "" {
 			n.heartbeatDue = true
-			n.handovers[pool] = handover{to, c.heldEpoch, now + HandoverTime}
+			n.handovers[pool] = handover{to, c.heldEpoch, now + HandoverTimeout}
 			c.active = false
 		}
 		n.releaseVotes(pool, c)
@@ -35,13 +35,13 @@
 	out := n.pendingReleases
 	for _, pool := range n.handoverPools() {
 		h := n.handovers[pool]
-		out = append(out, Release{Pool: pool, Epoch: h.epoch, To: h.to})
+		out = append(out, Release{Pool: pool, Epoch: h.epoch, Successor: h.to})
 	}
 	return out
 }
 
 // HandingOver reports whether a handover is pending, that is, its successor has
-// not announced the ownership and HandoverTime has not passed.
+// not announced the ownership and HandoverTimeout has not passed.
 func (n *Node) HandingOver() bool { return len(n.handovers) > 0 }
 
 // successor returns the preferred other candidate for a pool, or "" without one.
@@ -60,11 +60,11 @@
 // witnesses still keep their votes for the resigned owner.
 func (n *Node) acceptHandover(now time.Duration, from string, r Release) {
 	c := n.claims[r.Pool]
-	if c == nil || n.resigned || c.held(now) || !n.Valid(now) || (c.active && c.handedOverEpoch == r.Epoch) {
+	if c == nil || n.resigned || c.held(now) || !n.LeaseValid(now) || (c.active && c.handedOverEpoch == r.Epoch) {
 		return
 	}
 	n.raiseHighestEpoch(r.Pool, r.Epoch)
-	*c = claim{active: true, epoch: n.highestEpoch(r.Pool) + 1, handedOverEpoch: r.Epoch, roundStart: now - RoundTime}
+	*c = claim{active: true, epoch: n.highestEpoch(r.Pool) + 1, handedOverEpoch: r.Epoch, roundStart: now - RoundTimeout}
 }
 
 // advanceHandovers ends the handovers whose successor announced the ownership, and
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,7 +15,7 @@
 // witness at 10 s.
 func newWitness(self string) *Node {
 	n := New(Config{Self: self, Instances: []string{"a", "b", "c", "d", "e"}, Boot: 1})
-	n.Confirm(3*sec, 3*sec, 0)
+	n.ConfirmRevision(3*sec, 3*sec, 0)
 	return n
 }
 
@@ -50,7 +50,7 @@
 			n := newWitness("e")
 			copied := held
 			n.votes["p"] = &copied
-			reply := n.OnBeat(c.now, c.from, Beat{Boot: c.boot, Seq: 1, Requests: []Request{{Pool: "p", Epoch: c.epoch, After: c.after}}})
+			reply := n.HandleHeartbeat(c.now, c.from, Heartbeat{Boot: c.boot, Seq: 1, Requests: []Request{{Pool: "p", Epoch: c.epoch, HandedOverEpoch: c.after}}})
 			is.Equal(reply.Votes, []Vote{c.want})
 		})
 	}
@@ -61,14 +61,14 @@
 func TestReleaseNotUndoneByOlderHeartbeat(t *testing.T) {
 	is := is.New(t)
 	n := newWitness("e")
-	request := Beat{Boot: 1, Seq: 1, Requests: []Request{{Pool: "p", Epoch: 1}}}
-	is.True(n.OnBeat(10*sec, "a", request).Votes[0].Granted)
-	n.OnBeat(10*sec, "b", Beat{Boot: 1, Seq: 1, Releases: []Release{{Pool: "p", Epoch: 1}}})
+	request := Heartbeat{Boot: 1, Seq: 1, Requests: []Request{{Pool: "p", Epoch: 1}}}
+	is.True(n.HandleHeartbeat(10*sec, "a", request).Votes[0].Granted)
+	n.HandleHeartbeat(10*sec, "b", Heartbeat{Boot: 1, Seq: 1, Releases: []Release{{Pool: "p", Epoch: 1}}})
 	is.True(!n.votes["p"].free(10 * sec)) // b is not the owner
-	n.OnBeat(10*sec, "a", Beat{Boot: 1, Seq: 3, Releases: []Release{{Pool: "p", Epoch: 1}}})
+	n.HandleHeartbeat(10*sec, "a", Heartbeat{Boot: 1, Seq: 3, Releases: []Release{{Pool: "p", Epoch: 1}}})
 	is.True(n.votes["p"].free(10 * sec))
 	request.Seq = 2
-	is.True(!n.OnBeat(10*sec, "a", request).Votes[0].Granted) // sent before the release
+	is.True(!n.HandleHeartbeat(10*sec, "a", request).Votes[0].Granted) // sent before the release
 	is.True(n.votes["p"].free(10 * sec))
 }
 
@@ -101,18 +101,18 @@
 			is := is.New(t)
 			n := New(Config{Self: "e", Instances: []string{"a", "b", "c", "d", "e"}, Boot: 1})
 			n.SetRevision(0, c.own)
-			n.Beat(c.sent)
+			n.NextHeartbeat(c.sent)
 			for from, r := range c.replies {
 				r.Seq = 1
-				n.OnReply(c.sent, from, r)
+				n.HandleReply(c.sent, from, r)
 			}
 			if c.readAt > 0 {
-				n.Confirm(c.readAt, c.readAt, c.readRev)
+				n.ConfirmRevision(c.readAt, c.readAt, c.readRev)
 			}
 			n.Tick(c.now)
-			is.Equal(n.Witness(c.now), c.expected)
-			is.Equal(n.OnBeat(c.now, "a", Beat{Boot: 1, Seq: 1}).Abstains, !c.expected)
-			is.True(!n.Witness(2 * sec)) // never before RestartTime
+			is.Equal(n.IsWitness(c.now), c.expected)
+			is.Equal(n.HandleHeartbeat(c.now, "a", Heartbeat{Boot: 1, Seq: 1}).Abstains, !c.expected)
+			is.True(!n.IsWitness(2 * sec)) // never before RestartAbstention
 		})
 	}
 }
@@ -139,20 +139,20 @@
 			is := is.New(t)
 			n := newWitness("e")
 			n.SetRevision(9*sec, c.own)
-			n.Beat(10 * sec)
+			n.NextHeartbeat(10 * sec)
 			for i, r := range c.replies {
 				r.Seq = 1
-				n.OnReply(11*sec, n.cfg.Instances[i], r)
-				n.OnReply(11*sec, n.cfg.Instances[i], r) // duplicate
+				n.HandleReply(11*sec, n.cfg.Instances[i], r)
+				n.HandleReply(11*sec, n.cfg.Instances[i], r) // duplicate
 			}
-			is.Equal(n.Valid(11*sec), c.want)
+			is.Equal(n.LeaseValid(11*sec), c.want)
 			n.SetRevision(11*sec, 4)
-			is.Equal(n.Valid(10*sec+HolderTime-1), len(c.replies) > 1 && !c.replies[1].Abstains) // the view caught up afterwards
-			is.True(!n.Valid(10*sec + HolderTime))                                               // e.g. after a freeze
+			is.Equal(n.LeaseValid(10*sec+HolderLeaseTime-1), len(c.replies) > 1 && !c.replies[1].Abstains) // the view caught up afterwards
+			is.True(!n.LeaseValid(10*sec + HolderLeaseTime))                                               // e.g. after a freeze
 			for i := range c.replies {
-				n.OnReply(13*sec, n.cfg.Instances[i], Reply{Seq: 1, Revision: 4})
+				n.HandleReply(13*sec, n.cfg.Instances[i], Reply{Seq: 1, Revision: 4})
 			}
-			is.True(!n.Valid(13 * sec)) // replies after HolderTime extend nothing
+			is.True(!n.LeaseValid(13 * sec)) // replies after HolderLeaseTime extend nothing
 		})
 	}
 }
@@ -162,11 +162,11 @@
 func TestRevisionExpires(t *testing.T) {
 	is := is.New(t)
 	n := newWitness("e")
-	n.Beat(10 * sec)
-	n.OnReply(11*sec, "a", Reply{Seq: 1, Revision: 4})
-	is.Equal(n.Revision(10*sec+ReportLife, "a"), uint64(4))
-	is.Equal(n.Revision(10*sec+ReportLife+1, "a"), uint64(0)) // counted from the heartbeat
-	is.Equal(n.Revision(10*sec, "b"), uint64(0))
+	n.NextHeartbeat(10 * sec)
+	n.HandleReply(11*sec, "a", Reply{Seq: 1, Revision: 4})
+	is.Equal(n.PeerRevision(10*sec+MaxReportAge, "a"), uint64(4))
+	is.Equal(n.PeerRevision(10*sec+MaxReportAge+1, "a"), uint64(0)) // counted from the heartbeat
+	is.Equal(n.PeerRevision(10*sec, "b"), uint64(0))
 }
 
 // Guards against a new revision that is reported only at the next periodic
@@ -175,40 +175,40 @@
 func TestNewRevisionTriggersHeartbeat(t *testing.T) {
 	is := is.New(t)
 	n := newWitness("e")
-	n.Beat(10 * sec)
-	n.OnReply(10*sec, "a", Reply{Seq: 1, Revision: 4})
+	n.NextHeartbeat(10 * sec)
+	n.HandleReply(10*sec, "a", Reply{Seq: 1, Revision: 4})
 	n.Tick(10 * sec)
 	for i, want := range []bool{true, false, false} {
-		n.OnBeat(10*sec, "a", Beat{Boot: 1, Seq: uint64(i + 1), Revision: 5})
+		n.HandleHeartbeat(10*sec, "a", Heartbeat{Boot: 1, Seq: uint64(i + 1), Revision: 5})
 		is.Equal(n.Tick(10*sec), want)
 	}
-	n.OnBeat(10*sec, "a", Beat{Boot: 2, Seq: 1, Revision: 5}) // a has restarted
+	n.HandleHeartbeat(10*sec, "a", Heartbeat{Boot: 2, Seq: 1, Revision: 5}) // a has restarted
 	is.True(n.Tick(10 * sec))
 }
 
 // Guards against a failed peer that delays a new owner, and against a running peer
 // considered without lease because a minority of witnesses does not reply to it.
 func TestMayHoldLease(t *testing.T) {
-	unanswered := func(ms uint64) []Quiet { return []Quiet{{"a", ms}} }
+	unanswered := func(ms uint64) []UnansweredPeer { return []UnansweredPeer{{"a", ms}} }
 	cases := []struct {
-		name  string
-		quiet map[string][]Quiet
-		now   time.Duration
-		want  bool
+		name       string
+		unanswered map[string][]UnansweredPeer
+		now        time.Duration
+		want       bool
 	}{
-		{"no reports from others", map[string][]Quiet{"b": nil, "c": nil}, 10 * sec, true},
-		{"minority", map[string][]Quiet{"b": unanswered(5000), "c": nil}, 10 * sec, true},
-		{"majority", map[string][]Quiet{"b": unanswered(5000), "c": unanswered(2100)}, 10 * sec, false},
-		{"majority, one reply too recent", map[string][]Quiet{"b": unanswered(5000), "c": unanswered(1900)}, 10 * sec, true},
-		{"majority, old reports", map[string][]Quiet{"b": unanswered(5000), "c": unanswered(5000)}, 12 * sec, true},
+		{"no reports from others", map[string][]UnansweredPeer{"b": nil, "c": nil}, 10 * sec, true},
+		{"minority", map[string][]UnansweredPeer{"b": unanswered(5000), "c": nil}, 10 * sec, true},
+		{"majority", map[string][]UnansweredPeer{"b": unanswered(5000), "c": unanswered(2100)}, 10 * sec, false},
+		{"majority, one reply too recent", map[string][]UnansweredPeer{"b": unanswered(5000), "c": unanswered(1900)}, 10 * sec, true},
+		{"majority, old reports", map[string][]UnansweredPeer{"b": unanswered(5000), "c": unanswered(5000)}, 12 * sec, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			n := newWitness("e") // has replied to nobody since its start at 0 s
-			n.Beat(10 * sec)
-			for from, q := range c.quiet {
-				n.OnReply(10*sec, from, Reply{Seq: 1, Quiet: q})
+			n.NextHeartbeat(10 * sec)
+			for from, u := range c.unanswered {
+				n.HandleReply(10*sec, from, Reply{Seq: 1, Unanswered: u})
 			}
 			is.Equal(n.MayHoldLease(c.now, "a"), c.want)
 			is.True(n.MayHoldLease(c.now, "unknown"))
@@ -301,10 +301,10 @@
 func TestGrantRefusesEpochBelowAnnounced(t *testing.T) {
 	is := is.New(t)
 	n := New(Config{Self: "e", Instances: []string{"a", "b", "c", "d", "e"}, Boot: 1})
-	n.OnBeat(sec, "a", Beat{Boot: 1, Seq: 1, Requests: []Request{{Pool: "p", Epoch: 5, Held: true}}})
-	n.Confirm(3*sec, 3*sec, 0)
+	n.HandleHeartbeat(sec, "a", Heartbeat{Boot: 1, Seq: 1, Requests: []Request{{Pool: "p", Epoch: 5, Held: true}}})
+	n.ConfirmRevision(3*sec, 3*sec, 0)
 	request := func(from string, seq, epoch uint64) Vote {
-		return n.OnBeat(9*sec, from, Beat{Boot: 1, Seq: seq, Requests: []Request{{Pool: "p", Epoch: epoch}}}).Votes[0]
+		return n.HandleHeartbeat(9*sec, from, Heartbeat{Boot: 1, Seq: seq, Requests: []Request{{Pool: "p", Epoch: epoch}}}).Votes[0]
 	}
 	is.Equal(request("b", 1, 4), Vote{Epoch: 5})
 	is.Equal(request("b", 2, 5), Vote{Epoch: 5})
@@ -320,7 +320,7 @@
 	o.Resign(s.clock(o))
 	for range 3 {
 		is.True(o.Tick(s.clock(o)) || o.HandingOver())
-		is.Equal(len(o.Beat(s.clock(o)).Releases), 1) // none of them is delivered
+		is.Equal(len(o.NextHeartbeat(s.clock(o)).Releases), 1) // none of them is delivered
 	}
 	is.True(s.timeWithoutOwner(owner, 5*sec) < 600*time.Millisecond) // by a periodic heartbeat
 }
@@ -359,19 +359,19 @@
 // Guards against a message that changes in encoding and decoding.
 func TestEncoding(t *testing.T) {
 	is := is.New(t)
-	beats := []Beat{
+	heartbeats := []Heartbeat{
 		{Boot: 1, Seq: 2},
 		{Boot: 1, Seq: 2, Revision: 3, StampMs: 4, StampCount: 5, Unreached: []string{"b"},
 			Requests: []Request{{"p", 1, true, 0}, {"q", 2, false, 1}}, Releases: []Release{{"p", 1, ""}, {"q", 2, "c"}}},
 	}
-	for _, b := range beats {
-		var got Beat
-		raw, err := json.Marshal(b)
+	for _, h := range heartbeats {
+		var got Heartbeat
+		raw, err := json.Marshal(h)
 		is.NoErr(err)
 		is.NoErr(json.Unmarshal(raw, &got))
-		is.Equal(fmt.Sprint(got), fmt.Sprint(b))
+		is.Equal(fmt.Sprint(got), fmt.Sprint(h))
 	}
-	r := Reply{Revision: 3, Abstains: true, Votes: []Vote{{Granted: true}, {Owner: "a", Epoch: 2}, {}}, Quiet: []Quiet{{"b", 9}}}
+	r := Reply{Revision: 3, Abstains: true, Votes: []Vote{{Granted: true}, {Owner: "a", Epoch: 2}, {}}, Unanswered: []UnansweredPeer{{"b", 9}}}
 	var got Reply
 	raw, err := json.Marshal(r)
 	is.NoErr(err)
@@ -385,21 +385,21 @@
 	f.Add([]byte(`[1,2,3,4,5,[["p",1]],["b"],[["p",1,"c"]]]`))
 	f.Add([]byte(`[3,1,[1,[2,"a"]],[["b",9]]]`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var b Beat
-		if json.Unmarshal(raw, &b) == nil {
-			again, err := json.Marshal(b)
-			var c Beat
+		var h Heartbeat
+		if json.Unmarshal(raw, &h) == nil {
+			again, err := json.Marshal(h)
+			var c Heartbeat
 			if err != nil || json.Unmarshal(again, &c) != nil {
-				t.Fatalf("beat %s encodes to %s: %v", raw, again, err)
+				t.Fatalf("heartbeat %s encodes to %s: %v", raw, again, err)
 			}
-			newWitness("e").OnBeat(10*sec, "a", b)
+			newWitness("e").HandleHeartbeat(10*sec, "a", h)
 		}
 		var r Reply
 		if json.Unmarshal(raw, &r) == nil {
 			n := newWitness("e")
-			n.Beat(10 * sec)
+			n.NextHeartbeat(10 * sec)
 			r.Seq = 1
-			n.OnReply(10*sec, "a", r)
+			n.HandleReply(10*sec, "a", r)
 		}
 	})
 }
@@ -411,19 +411,19 @@
 	nodes := map[string]*Node{}
 	for _, name := range names {
 		nodes[name] = New(Config{Self: name, Instances: names, Boot: 1})
-		nodes[name].Confirm(3*sec, 3*sec, 0)
+		nodes[name].ConfirmRevision(3*sec, 3*sec, 0)
 	}
 	now := 10 * sec
 	b.ReportAllocs()
 	for b.Loop() {
-		now += BeatInterval
-		beat := nodes["a"].Beat(now)
+		now += HeartbeatInterval
+		heartbeat := nodes["a"].NextHeartbeat(now)
 		for _, name := range names[1:] {
-			reply := nodes[name].OnBeat(now, "a", beat)
-			reply.Seq = beat.Seq
-			nodes["a"].OnReply(now, name, reply)
+			reply := nodes[name].HandleHeartbeat(now, "a", heartbeat)
+			reply.Seq = heartbeat.Seq
+			nodes["a"].HandleReply(now, name, reply)
 		}
-		if !nodes["a"].Valid(now) {
+		if !nodes["a"].LeaseValid(now) {
 			b.Fatal("no lease")
 		}
 	}
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -21,9 +21,9 @@
 	Epoch uint64
 	// Held reports that the sender owns the pool with this epoch.
 	Held bool
-	// After is the epoch of the owner that handed over its votes to the sender,
+	// HandedOverEpoch is the epoch of the owner that handed over its votes to the sender,
 	// 0 without a handover.
-	After uint64
+	HandedOverEpoch uint64
 }
 
 // Release gives up the votes granted to the sender for a pool, for Epoch and all
@@ -31,13 +31,13 @@
 type Release struct {
 	Pool  string
 	Epoch uint64
-	// To is the successor to which a resigned owner hands over its votes. If it
+	// Successor is the successor to which a resigned owner hands over its votes. If it
 	// is "", each receiver frees its vote for any candidate.
-	To string
+	Successor string
 }
 
-// Beat is the heartbeat that each instance sends to all others.
-type Beat struct {
+// Heartbeat is the heartbeat that each instance sends to all others.
+type Heartbeat struct {
 	// Boot identifies the sender's process: a restarted instance has another value.
 	Boot uint64
 	// Seq numbers the heartbeats of this process from 1.
@@ -63,12 +63,12 @@
 	Epoch uint64
 }
 
-// Quiet reports a peer to which the sender has sent no lease reply for some time.
+// UnansweredPeer reports a peer to which the sender has sent no lease reply for some time.
 // A lease reply is a reply that does not abstain.
-type Quiet struct {
+type UnansweredPeer struct {
 	Peer string
-	// Ms is the time since the last lease reply in milliseconds.
-	Ms uint64
+	// SinceReplyMs is the time since the last lease reply in milliseconds.
+	SinceReplyMs uint64
 }
 
 // Reply is the reply to a heartbeat.
@@ -80,65 +80,65 @@
 	Revision uint64
 	// Abstains reports that the replier is no witness yet. Its votes then grant
 	// nothing, and the reply does not count towards a lease.
-	Abstains bool
-	Votes    []Vote // one for each request, in order
-	Quiet    []Quiet
+	Abstains   bool
+	Votes      []Vote // one for each request, in order
+	Unanswered []UnansweredPeer
 }
 
 // MarshalJSON encodes a heartbeat as an array without its trailing zero values.
 // Heartbeats are the idle traffic of the fleet, and field names would be most of
 // their bytes.
-func (b Beat) MarshalJSON() ([]byte, error) {
-	reqs := make([][]any, 0, len(b.Requests))
-	for _, r := range b.Requests {
-		reqs = append(reqs, trimZeros(r.Pool, r.Epoch, boolToInt(!r.Held), r.After))
+func (h Heartbeat) MarshalJSON() ([]byte, error) {
+	reqs := make([][]any, 0, len(h.Requests))
+	for _, r := range h.Requests {
+		reqs = append(reqs, trimZeros(r.Pool, r.Epoch, boolToInt(!r.Held), r.HandedOverEpoch))
 	}
-	rels := make([][]any, 0, len(b.Releases))
-	for _, r := range b.Releases {
-		rels = append(rels, trimZeros(r.Pool, r.Epoch, r.To))
+	rels := make([][]any, 0, len(h.Releases))
+	for _, r := range h.Releases {
+		rels = append(rels, trimZeros(r.Pool, r.Epoch, r.Successor))
 	}
-	unreached := b.Unreached
+	unreached := h.Unreached
 	if unreached == nil {
 		unreached = []string{}
 	}
-	return json.Marshal(trimZeros(b.Boot, b.Seq, b.Revision, b.StampMs, b.StampCount, reqs, unreached, rels))
+	return json.Marshal(trimZeros(h.Boot, h.Seq, h.Revision, h.StampMs, h.StampCount, reqs, unreached, rels))
 }
 
-// UnmarshalJSON decodes a heartbeat. It returns an error and leaves b unchanged if
+// UnmarshalJSON decodes a heartbeat. It returns an error and leaves h unchanged if
 // a required field is missing or a limit is exceeded.
-func (b *Beat) UnmarshalJSON(data []byte) error {
-	var out Beat
+func (h *Heartbeat) UnmarshalJSON(data []byte) error {
+	var out Heartbeat
 	var reqs, rels []json.RawMessage
 	err := decodeArray(data, 2, &out.Boot, &out.Seq, &out.Revision, &out.StampMs, &out.StampCount, &reqs, &out.Unreached, &rels)
 	if err != nil {
-		return errors.WithMessage(err, "beat")
+		return errors.WithMessage(err, "heartbeat")
 	}
 	if out.Boot == 0 || out.Seq == 0 {
-		return errors.New("beat: no boot or no sequence")
+		return errors.New("heartbeat: no boot or no sequence")
 	}
 	for _, raw := range reqs {
 		var r Request
 		notOwned := 0
-		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &notOwned, &r.After); err != nil {
-			return errors.WithMessage(err, "beat request")
+		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &notOwned, &r.HandedOverEpoch); err != nil {
+			return errors.WithMessage(err, "heartbeat request")
 		}
 		if r.Pool == "" || r.Epoch == 0 {
-			return errors.New("beat request: no pool or no epoch")
+			return errors.New("heartbeat request: no pool or no epoch")
 		}
 		r.Held = notOwned == 0
 		out.Requests = append(out.Requests, r)
 	}
 	for _, raw := range rels {
 		var r Release
-		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &r.To); err != nil {
-			return errors.WithMessage(err, "beat release")
+		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &r.Successor); err != nil {
+			return errors.WithMessage(err, "heartbeat release")
 		}
 		if r.Pool == "" || r.Epoch == 0 {
-			return errors.New("beat release: no pool or no epoch")
+			return errors.New("heartbeat release: no pool or no epoch")
 		}
 		out.Releases = append(out.Releases, r)
 	}
-	*b = out
+	*h = out
 	return nil
 }
 
@@ -152,20 +152,20 @@
 		}
 		votes = append(votes, trimZeros(v.Epoch, v.Owner))
 	}
-	quiet := make([][]any, 0, len(r.Quiet))
-	for _, q := range r.Quiet {
-		quiet = append(quiet, []any{q.Peer, q.Ms})
+	unanswered := make([][]any, 0, len(r.Unanswered))
+	for _, u := range r.Unanswered {
+		unanswered = append(unanswered, []any{u.Peer, u.SinceReplyMs})
 	}
-	return json.Marshal(trimZeros(r.Revision, boolToInt(r.Abstains), votes, quiet))
+	return json.Marshal(trimZeros(r.Revision, boolToInt(r.Abstains), votes, unanswered))
 }
 
 // UnmarshalJSON decodes a reply. It returns an error and leaves r unchanged if a
 // required field is missing or a limit is exceeded.
 func (r *Reply) UnmarshalJSON(data []byte) error {
 	var out Reply
-	var votes, quiet []json.RawMessage
+	var votes, unanswered []json.RawMessage
 	abstains := 0
-	if err := decodeArray(data, 0, &out.Revision, &abstains, &votes, &quiet); err != nil {
+	if err := decodeArray(data, 0, &out.Revision, &abstains, &votes, &unanswered); err != nil {
 		return errors.WithMessage(err, "reply")
 	}
 	out.Abstains = abstains != 0
@@ -176,15 +176,15 @@
 		}
 		out.Votes = append(out.Votes, v)
 	}
-	for _, raw := range quiet {
-		var q Quiet
-		if err := decodeArray(raw, 2, &q.Peer, &q.Ms); err != nil {
-			return errors.WithMessage(err, "reply quiet")
+	for _, raw := range unanswered {
+		var u UnansweredPeer
+		if err := decodeArray(raw, 2, &u.Peer, &u.SinceReplyMs); err != nil {
+			return errors.WithMessage(err, "reply unanswered peer")
 		}
-		if q.Peer == "" || q.Ms > math.MaxInt32 {
-			return errors.New("reply quiet: no peer or time out of range")
+		if u.Peer == "" || u.SinceReplyMs > math.MaxInt32 {
+			return errors.New("reply unanswered peer: no peer or time out of range")
 		}
-		out.Quiet = append(out.Quiet, q)
+		out.Unanswered = append(out.Unanswered, u)
 	}
 	*r = out
 	return nil
--- a/internal/lease/node.go
+++ b/internal/lease/node.go
@@ -7,7 +7,7 @@
 )
 
 // maxRounds is the number of own heartbeats whose replies are counted. Heartbeats
-// older than HolderTime cannot extend a lease or an ownership.
+// older than HolderLeaseTime cannot extend a lease or an ownership.
 const maxRounds = 8
 
 // Config identifies a node and its fleet.
@@ -87,17 +87,17 @@
 	return n
 }
 
-// Witness reports whether the node votes: RestartTime has passed since its start,
+// IsWitness reports whether the node votes: RestartAbstention has passed since its start,
 // and its view has caught up with the fleet. Otherwise its replies abstain.
-func (n *Node) Witness(now time.Duration) bool {
-	return n.caughtUp && now >= n.cfg.Start+RestartTime
+func (n *Node) IsWitness(now time.Duration) bool {
+	return n.caughtUp && now >= n.cfg.Start+RestartAbstention
 }
 
-// Valid reports whether the instance lease is valid at the given time.
-func (n *Node) Valid(now time.Duration) bool { return now < n.leaseEnd }
+// LeaseValid reports whether the instance lease is valid at the given time.
+func (n *Node) LeaseValid(now time.Duration) bool { return now < n.leaseEnd }
 
-// Until returns the time at which the instance lease expires, 0 if there was none.
-func (n *Node) Until() time.Duration { return n.leaseEnd }
+// LeaseEnd returns the time at which the instance lease expires, 0 if there was none.
+func (n *Node) LeaseEnd() time.Duration { return n.leaseEnd }
 
 // SetRevision sets the revision of the local view. A lower revision than before
 // is ignored.
@@ -107,12 +107,12 @@
 	n.extendLeases(now)
 }
 
-// Confirm records the revision returned by a read that the control quorum
+// ConfirmRevision records the revision returned by a read that the control quorum
 // confirmed and that started at began. Reads started before the end of
-// RestartTime are ignored, because a later revision could be accepted with the
+// RestartAbstention are ignored, because a later revision could be accepted with the
 // help of a report that this instance made before its restart.
-func (n *Node) Confirm(now, began time.Duration, revision uint64) {
-	if began < n.cfg.Start+RestartTime {
+func (n *Node) ConfirmRevision(now, began time.Duration, revision uint64) {
+	if began < n.cfg.Start+RestartAbstention {
 		return
 	}
 	n.readConfirmed, n.confirmedRevision = true, max(n.confirmedRevision, revision)
@@ -121,10 +121,10 @@
 
 // updateCaughtUp decides whether the view has caught up since the restart: it is
 // at least as new as one confirmed by the control quorum, or as the views of a
-// majority of witnesses. Reads and heartbeats before the end of RestartTime do
+// majority of witnesses. Reads and heartbeats before the end of RestartAbstention do
 // not count.
 func (n *Node) updateCaughtUp(now time.Duration) {
-	if n.caughtUp || now < n.cfg.Start+RestartTime {
+	if n.caughtUp || now < n.cfg.Start+RestartAbstention {
 		return
 	}
 	if n.readConfirmed && n.revision >= n.confirmedRevision {
@@ -132,7 +132,7 @@
 		return
 	}
 	for _, r := range n.rounds {
-		if r.sentAt >= n.cfg.Start+RestartTime && n.countNotAhead(r, false) >= n.majority {
+		if r.sentAt >= n.cfg.Start+RestartAbstention && n.countNotAhead(r, false) >= n.majority {
 			n.caughtUp, n.heartbeatDue = true, true
 			return
 		}
@@ -151,26 +151,26 @@
 	return count
 }
 
-// Beat returns the next heartbeat, to be sent to all peers. It must be sent at
+// NextHeartbeat returns the next heartbeat, to be sent to all peers. It must be sent at
 // once, because leases are counted from now.
-func (n *Node) Beat(now time.Duration) Beat {
+func (n *Node) NextHeartbeat(now time.Duration) Heartbeat {
 	n.seq++
-	b := Beat{Boot: n.cfg.Boot, Seq: n.seq, Revision: n.revision, Requests: n.requests(now), Releases: n.releasesToSend()}
+	h := Heartbeat{Boot: n.cfg.Boot, Seq: n.seq, Revision: n.revision, Requests: n.requests(now), Releases: n.releasesToSend()}
 	n.pendingReleases = nil
-	n.rounds = append(n.rounds, &round{seq: n.seq, sentAt: now, requests: b.Requests, replies: map[string]Reply{}})
+	n.rounds = append(n.rounds, &round{seq: n.seq, sentAt: now, requests: h.Requests, replies: map[string]Reply{}})
 	if len(n.rounds) > maxRounds {
 		n.rounds = slices.Delete(n.rounds, 0, len(n.rounds)-maxRounds)
 	}
-	ownReply := n.OnBeat(now, n.cfg.Self, b)
+	ownReply := n.HandleHeartbeat(now, n.cfg.Self, h)
 	ownReply.Seq = n.seq
-	n.OnReply(now, n.cfg.Self, ownReply)
-	return b
+	n.HandleReply(now, n.cfg.Self, ownReply)
+	return h
 }
 
-// OnReply processes the reply of a peer to an own heartbeat and extends the lease
+// HandleReply processes the reply of a peer to an own heartbeat and extends the lease
 // and the ownership of pools accordingly. Reply.Seq must be the Seq of that
 // heartbeat. Duplicates and replies to old heartbeats are ignored.
-func (n *Node) OnReply(now time.Duration, from string, reply Reply) {
+func (n *Node) HandleReply(now time.Duration, from string, reply Reply) {
 	p := n.peers[from]
 	i := slices.IndexFunc(n.rounds, func(r *round) bool { return r.seq == reply.Seq })
 	if p == nil || i < 0 {
@@ -195,8 +195,8 @@
 	p.replied, p.abstains, p.replyRevision = true, reply.Abstains, reply.Revision
 	p.replyHeartbeatSent, p.replyReceived = sent, now
 	p.unanswered = map[string]time.Duration{}
-	for _, q := range reply.Quiet {
-		p.unanswered[q.Peer] = time.Duration(q.Ms) * time.Millisecond
+	for _, u := range reply.Unanswered {
+		p.unanswered[u.Peer] = time.Duration(u.SinceReplyMs) * time.Millisecond
 	}
 }
 
@@ -204,11 +204,11 @@
 // recent heartbeat to which a majority replied.
 func (n *Node) extendLeases(now time.Duration) {
 	for _, r := range n.rounds {
-		if now >= r.sentAt+HolderTime {
+		if now >= r.sentAt+HolderLeaseTime {
 			continue
 		}
 		if n.countNotAhead(r, true) >= n.majority {
-			n.leaseEnd = max(n.leaseEnd, r.sentAt+HolderTime)
+			n.leaseEnd = max(n.leaseEnd, r.sentAt+HolderLeaseTime)
 		}
 		for i, req := range r.requests {
 			n.countGrants(r, i, req)
@@ -216,22 +216,22 @@
 	}
 }
 
-// Revision returns the revision in a peer's newest reply, or 0 if the heartbeat
-// that it replies to is older than ReportLife. For Self it returns the revision
+// PeerRevision returns the revision in a peer's newest reply, or 0 if the heartbeat
+// that it replies to is older than MaxReportAge. For Self it returns the revision
 // of the local view.
-func (n *Node) Revision(now time.Duration, name string) uint64 {
+func (n *Node) PeerRevision(now time.Duration, name string) uint64 {
 	if name == n.cfg.Self {
 		return n.revision
 	}
 	p := n.peers[name]
-	if p == nil || !p.replied || now-p.replyHeartbeatSent > ReportLife {
+	if p == nil || !p.replied || now-p.replyHeartbeatSent > MaxReportAge {
 		return 0
 	}
 	return p.replyRevision
 }
 
-// Ahead returns the peers with a newer view than the local one, the newest first.
-func (n *Node) Ahead() []string {
+// PeersAhead returns the peers with a newer view than the local one, the newest first.
+func (n *Node) PeersAhead() []string {
 	var out []string
 	for name, p := range n.peers {
 		if p.revision > n.revision {
@@ -250,10 +250,10 @@
 
 // MayHoldLease reports whether a peer may hold an instance lease. It returns
 // false only if so many witnesses report that they sent the peer no lease reply
-// that it certainly held no lease at some moment within the last ReportLife.
+// that it certainly held no lease at some moment within the last MaxReportAge.
 func (n *Node) MayHoldLease(now time.Duration, name string) bool {
 	if name == n.cfg.Self {
-		return n.Valid(now)
+		return n.LeaseValid(now)
 	}
 	if n.peers[name] == nil {
 		return true
@@ -271,7 +271,7 @@
 	oldestSent := now
 	for witness, p := range n.peers {
 		age, ok := p.unanswered[name]
-		if witness == n.cfg.Self || witness == name || !ok || now-p.replyHeartbeatSent > ReportLife {
+		if witness == n.cfg.Self || witness == name || !ok || now-p.replyHeartbeatSent > MaxReportAge {
 			continue
 		}
 		oldestSent = min(oldestSent, p.replyHeartbeatSent)
@@ -279,7 +279,7 @@
 	}
 	count := 0
 	for _, e := range reports {
-		if minRealTime(e.age)-maxRealTime(e.received-oldestSent) >= maxRealTime(HolderTime) {
+		if minRealTime(e.age)-maxRealTime(e.received-oldestSent) >= maxRealTime(HolderLeaseTime) {
 			count++
 		}
 	}
--- a/internal/lease/sequence_test.go
+++ b/internal/lease/sequence_test.go
@@ -67,7 +67,7 @@
 	s.runUntil(s.now + within)
 	for _, name := range s.names {
 		n := s.nodes[name]
-		if !n.Valid(s.clock(n)) {
+		if !n.LeaseValid(s.clock(n)) {
 			return name + " has no lease"
 		}
 		if n.revision != s.committedRevision {
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -118,7 +118,7 @@
 	}
 	s.step(n)
 	s.readFromQuorum(n)
-	if ahead := n.Ahead(); len(ahead) > 0 {
+	if ahead := n.PeersAhead(); len(ahead) > 0 {
 		s.fetch(n, ahead[0])
 	}
 }
@@ -129,19 +129,19 @@
 	if !n.Tick(now) && now < n.nextHeartbeat {
 		return
 	}
-	n.nextHeartbeat = now + BeatInterval
-	b := n.Beat(now)
+	n.nextHeartbeat = now + HeartbeatInterval
+	h := n.NextHeartbeat(now)
 	boot := n.boot
 	for _, to := range s.names {
 		if to == n.name {
 			continue
 		}
 		s.send(n.name, to, func(p *simNode) {
-			reply := p.OnBeat(s.clock(p), n.name, b)
-			reply.Seq = b.Seq
+			reply := p.HandleHeartbeat(s.clock(p), n.name, h)
+			reply.Seq = h.Seq
 			s.send(p.name, n.name, func(q *simNode) {
 				if q.boot == boot {
-					q.OnReply(s.clock(q), p.name, reply)
+					q.HandleReply(s.clock(q), p.name, reply)
 					s.step(q)
 				}
 			})
@@ -167,7 +167,7 @@
 // readFromQuorum simulates a read confirmed by the control quorum.
 func (s *sim) readFromQuorum(n *simNode) {
 	now := s.clock(n)
-	if n.readPending || n.Witness(now) {
+	if n.readPending || n.IsWitness(now) {
 		return
 	}
 	n.readPending = true
@@ -176,7 +176,7 @@
 		s.after(s.maxDelay, func() {
 			s.whenRunning(n.name, n.boot, func(n *simNode) {
 				n.readPending = false
-				n.Confirm(s.clock(n), now, revision)
+				n.ConfirmRevision(s.clock(n), now, revision)
 			})
 		})
 	})
@@ -208,7 +208,7 @@
 	}
 	var count int
 	for _, name := range s.names {
-		if n.Revision(s.clock(n), name) >= s.committedRevision {
+		if n.PeerRevision(s.clock(n), name) >= s.committedRevision {
 			count++
 		}
 	}
@@ -241,7 +241,7 @@
 	for _, name := range s.names {
 		n := s.nodes[name]
 		now := s.clock(n)
-		if n.Valid(now) {
+		if n.LeaseValid(now) {
 			s.leaseTime += step
 			s.checkRevision(n)
 		}
--- a/internal/lease/witness.go
+++ b/internal/lease/witness.go
@@ -19,28 +19,28 @@
 // expired.
 func (v *vote) free(now time.Duration) bool { return v.owner == "" || now >= v.expires }
 
-// OnBeat processes a peer's heartbeat and returns the reply to it. The reply
+// HandleHeartbeat processes a peer's heartbeat and returns the reply to it. The reply
 // abstains if this node is no witness yet or the peer is not in
 // Config.Instances. No request of a heartbeat that arrives after a later one of
 // the same boot is granted.
-func (n *Node) OnBeat(now time.Duration, from string, b Beat) Reply {
+func (n *Node) HandleHeartbeat(now time.Duration, from string, h Heartbeat) Reply {
 	p := n.peers[from]
 	if p == nil {
 		return Reply{Revision: n.revision, Abstains: true}
 	}
-	isNew := b.Boot != p.boot || b.Seq > p.seq
-	if b.Boot != p.boot {
+	isNew := h.Boot != p.boot || h.Seq > p.seq
+	if h.Boot != p.boot {
 		p.triggerRevision = 0
 	}
 	if isNew {
-		p.boot, p.seq = b.Boot, b.Seq
-		n.applyHeartbeat(now, from, b)
+		p.boot, p.seq = h.Boot, h.Seq
+		n.applyHeartbeat(now, from, h)
 	}
-	reply := Reply{Revision: n.revision, Abstains: !n.Witness(now), Quiet: n.unansweredPeers(now)}
-	for _, req := range b.Requests {
+	reply := Reply{Revision: n.revision, Abstains: !n.IsWitness(now), Unanswered: n.unansweredPeers(now)}
+	for _, req := range h.Requests {
 		var v Vote
 		if isNew && !reply.Abstains {
-			v = n.grant(now, from, b.Boot, req)
+			v = n.grant(now, from, h.Boot, req)
 		}
 		reply.Votes = append(reply.Votes, v)
 	}
@@ -53,22 +53,22 @@
 // applyHeartbeat records the revision, the releases and the announced owners of a
 // heartbeat. It must not be called for a heartbeat that arrives after a later one,
 // because an older request must not undo a newer release.
-func (n *Node) applyHeartbeat(now time.Duration, from string, b Beat) {
+func (n *Node) applyHeartbeat(now time.Duration, from string, h Heartbeat) {
 	if p := n.peers[from]; from != n.cfg.Self {
-		p.revision = b.Revision
+		p.revision = h.Revision
 		// Only a reply proves a peer's revision. An immediate heartbeat
 		// obtains one now instead of at the next interval, so that a new
 		// revision is accepted sooner. It is sent once for each revision:
 		// otherwise two instances whose replies are lost would trigger each
 		// other's heartbeats without end.
-		if p.replied && b.Revision > max(p.replyRevision, p.triggerRevision) {
-			n.heartbeatDue, p.triggerRevision = true, b.Revision
+		if p.replied && h.Revision > max(p.replyRevision, p.triggerRevision) {
+			n.heartbeatDue, p.triggerRevision = true, h.Revision
 		}
 	}
-	for _, r := range b.Releases {
-		n.applyRelease(now, from, b.Boot, r)
+	for _, r := range h.Releases {
+		n.applyRelease(now, from, h.Boot, r)
 	}
-	for _, req := range b.Requests {
+	for _, req := range h.Requests {
 		o := n.owners[req.Pool]
 		if req.Held && from != n.cfg.Self && req.Epoch >= o.epoch {
 			n.owners[req.Pool] = owner{from, req.Epoch, now + LeaseTime}
@@ -85,7 +85,7 @@
 		n.votes[req.Pool] = v
 	}
 	sameOwner := v.owner == from && v.boot == boot
-	handedOver := req.After != 0 && v.epoch == req.After
+	handedOver := req.HandedOverEpoch != 0 && v.epoch == req.HandedOverEpoch
 	if !sameOwner && !handedOver && !v.free(now) {
 		return Vote{Owner: v.owner, Epoch: v.epoch}
 	}
@@ -106,8 +106,8 @@
 // applyRelease processes a release of a peer: it accepts a handover addressed to
 // this node, or frees the vote granted to the peer and forgets its ownership.
 func (n *Node) applyRelease(now time.Duration, from string, boot uint64, r Release) {
-	if r.To != "" {
-		if r.To == n.cfg.Self && from != n.cfg.Self {
+	if r.Successor != "" {
+		if r.Successor == n.cfg.Self && from != n.cfg.Self {
 			n.acceptHandover(now, from, r)
 		}
 		return
@@ -123,12 +123,12 @@
 
 // unansweredPeers returns the peers to which this node sent no lease reply for at
 // least unansweredReportAge.
-func (n *Node) unansweredPeers(now time.Duration) []Quiet {
-	var out []Quiet
+func (n *Node) unansweredPeers(now time.Duration) []UnansweredPeer {
+	var out []UnansweredPeer
 	for _, name := range n.cfg.Instances {
 		p := n.peers[name]
 		if age := now - p.lastLeaseReply; name != n.cfg.Self && age >= unansweredReportAge {
-			out = append(out, Quiet{name, uint64(age / time.Millisecond)})
+			out = append(out, UnansweredPeer{name, uint64(age / time.Millisecond)})
 		}
 	}
 	return out
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	evidenceLife = 10 * time.Second
+	warmthTTL    = 10 * time.Second
 	reportLag    = 2 * time.Second
 	requestLimit = 10 * time.Minute
 )
 
 func config(name, dc string, warm, cold int) Config {
 	return Config{Name: name, DataCentre: dc, WarmCapacity: warm, ColdCapacity: cold,
-		EvidenceLife: evidenceLife, ReportLag: reportLag, RequestLimit: requestLimit}
+		WarmthTTL: warmthTTL, ReportLag: reportLag, RequestLimit: requestLimit}
 }
 
 // fixture is a set with one target and a simulated clock.
@@ -92,11 +92,11 @@
 		{"new boot in a report", func(f *fixture) { f.warmUp(); f.Report("t", Report{Boot: 2}, f.now) }, 2},
 		{"new boot, warm", func(f *fixture) { f.warmUp(); f.Report("t", Report{Boot: 2, Warmth: api.WarmthWarm}, f.now) }, 3},
 		{"failure", func(f *fixture) { f.warmUp(); f.begin(1); f.end(api.ResultFailed, "", 0) }, 2},
-		{"refused poll", func(f *fixture) { f.warmUp(); f.Refused("t", f.now) }, 2},
-		{"poll without a report", func(f *fixture) { f.warmUp(); f.Silent("t", f.now) }, 8},
-		{"no evidence while running", func(f *fixture) { f.warmUp(); f.begin(1); f.Tick(f.now + evidenceLife + 1) }, 2},
-		{"idle without evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + evidenceLife + 1) }, 2},
-		{"young evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + evidenceLife) }, 8},
+		{"refused poll", func(f *fixture) { f.warmUp(); f.ConnectionRefused("t", f.now) }, 2},
+		{"poll without a report", func(f *fixture) { f.warmUp(); f.PollFailed("t", f.now) }, 8},
+		{"no evidence while running", func(f *fixture) { f.warmUp(); f.begin(1); f.Tick(f.now + warmthTTL + 1) }, 2},
+		{"idle without evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + warmthTTL + 1) }, 2},
+		{"young evidence", func(f *fixture) { f.warmUp(); f.Tick(f.now + warmthTTL) }, 8},
 		{"responses sent before a restart", func(f *fixture) {
 			f.warmUp()
 			f.begin(2)
@@ -201,7 +201,7 @@
 func TestUntrackedWork(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 4)
-	f.Gate(f.now+time.Second, f.now)
+	f.AwaitReports(f.now+time.Second, f.now)
 	is.Equal(f.begin(1), 0) // no work before the first report
 	f.Report("t", Report{Running: 2, Queued: 1}, f.now)
 	is.Equal(f.t.Used(), 3)
@@ -213,7 +213,7 @@
 	f.now += 3 * reportLag
 	f.Report("t", Report{Running: 2}, f.now)
 	is.Equal(f.t.Used(), 2)
-	f.Gate(f.now+time.Second, f.now)
+	f.AwaitReports(f.now+time.Second, f.now)
 	f.Tick(f.now + time.Second)
 	is.Equal(f.begin(1), 1) // the gate ends without a report
 }
@@ -293,7 +293,7 @@
 		s.End(works[i], api.Outcome{Result: r, Warmth: warmth, Boot: boot}, now)
 		works = append(works[:i], works[i+1:]...)
 	case 9:
-		s.Discard(works[i], now)
+		s.Remove(works[i], now)
 		works = append(works[:i], works[i+1:]...)
 	}
 	return works
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -44,18 +44,18 @@
 	return min(max(0, r.Running), maxReportedCount) + min(max(0, r.Queued), maxReportedCount)
 }
 
-// Silent handles a poll that yielded no load report: the target no longer waits for
-// its first report (see Gate).
-func (s *Set) Silent(name string, now time.Duration) {
+// PollFailed handles a poll that yielded no load report: the target no longer waits for
+// its first report (see AwaitReports).
+func (s *Set) PollFailed(name string, now time.Duration) {
 	if t := s.byName[name]; t != nil {
 		t.awaitingReport = false
 		s.updateHeaps(t, now)
 	}
 }
 
-// Refused handles a poll whose connection the target refused or reset. It counts as
+// ConnectionRefused handles a poll whose connection the target refused or reset. It counts as
 // a failure of the target.
-func (s *Set) Refused(name string, now time.Duration) {
+func (s *Set) ConnectionRefused(name string, now time.Duration) {
 	if t := s.byName[name]; t != nil {
 		t.awaitingReport = false
 		t.recordFailure(now, "failed")
--- a/internal/limits/set.go
+++ b/internal/limits/set.go
@@ -6,15 +6,15 @@
 	"nutmegrouter/internal/api"
 )
 
-// Change is a change of a target's state. What is one of:
+// Change is a change of a target's state. Event is one of:
 //   - "warm": evidence that the target is warm
 //   - "cold", "boot", "failed", "expired": no longer warm, because the target said so,
-//     restarted, failed, or gave no evidence for the EvidenceLife
+//     restarted, failed, or gave no evidence for the WarmthTTL
 //   - "leaving", "out", "back": availability, see SetLeaving and SetOut
 //   - "clear": orphaned work no longer counts
 type Change struct {
 	Target string
-	What   string
+	Event  string
 }
 
 // maxChanges bounds the changes kept between two calls of Changes. Further changes
@@ -98,11 +98,11 @@
 	s.refreshAll(now)
 }
 
-// Gate withholds new work from each target until it has been polled or the time until
+// AwaitReports withholds new work from each target until it has been polled or the time until
 // has passed. It applies to all targets, including those configured before that time.
 // A new owner calls it because work of an unreachable instance is visible only in the
 // load reports of the targets.
-func (s *Set) Gate(until, now time.Duration) {
+func (s *Set) AwaitReports(until, now time.Duration) {
 	s.gateUntil = until
 	for _, t := range s.targets {
 		t.awaitingReport, t.gateUntil = true, until
@@ -269,9 +269,9 @@
 	s.updateHeaps(t, now)
 }
 
-// Discard removes work without an outcome: it was not started, or its outcome was
+// Remove removes work without an outcome: it was not started, or its outcome was
 // lost.
-func (s *Set) Discard(w *Work, now time.Duration) {
+func (s *Set) Remove(w *Work, now time.Duration) {
 	if t := w.target; t != nil {
 		s.unlink(w, now)
 		s.updateHeaps(t, now)
@@ -307,7 +307,7 @@
 func (s *Set) Tick(now time.Duration) {
 	removable := false
 	for _, t := range s.targets {
-		if t.warm && now-t.lastEvidence > t.EvidenceLife {
+		if t.warm && now-t.lastEvidence > t.WarmthTTL {
 			t.markCold(now, "expired")
 		}
 		if t.awaitingReport && now >= t.gateUntil {
--- a/internal/limits/target.go
+++ b/internal/limits/target.go
@@ -16,8 +16,8 @@
 	// requests.
 	WarmCapacity int
 	ColdCapacity int
-	// EvidenceLife is how long a target counts as warm after the newest evidence.
-	EvidenceLife time.Duration
+	// WarmthTTL is how long a target counts as warm after the newest evidence.
+	WarmthTTL time.Duration
 	// ReportLag is the largest age of the state that a load report describes.
 	ReportLag time.Duration
 	// RequestLimit is how long orphaned work counts at most, from its start.
@@ -75,7 +75,7 @@
 
 	boot           uint64        // newest boot number; 0 = unknown
 	bootAt         time.Duration // when boot was first seen
-	warm           bool          // the newest evidence is at most EvidenceLife old
+	warm           bool          // the newest evidence is at most WarmthTTL old
 	lastEvidence   time.Duration // time of the newest evidence that the target is warm
 	failures       int           // consecutive failures
 	backoffUntil   time.Duration // no new work before this time
@@ -108,7 +108,7 @@
 // have restarted.
 func (t *Target) Orphans() int { return t.orphans }
 
-// Warm reports whether there is evidence within the EvidenceLife that the target is
+// Warm reports whether there is evidence within the WarmthTTL that the target is
 // warm.
 func (t *Target) Warm() bool { return t.warm }
 
@@ -137,7 +137,7 @@
 	}
 }
 
-// markCold handles a sign that the target is cold. The reason is the What of a Change.
+// markCold handles a sign that the target is cold. The reason is the Event of a Change.
 func (t *Target) markCold(now time.Duration, reason string) {
 	if t.warm {
 		t.warm = false
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -49,14 +49,14 @@
 	Version string
 }
 
-// Verdict is the outcome of an order.
-type Verdict int
+// Outcome is the outcome of an order.
+type Outcome int
 
 // Outcomes of an order.
 const (
-	Accepted Verdict = iota // the engine executed it or started to
-	Failed                  // no response or an error; it is retried after a delay
-	Stale                   // refused because of an outdated fencing token
+	Accepted      Outcome = iota // the engine executed it or started to
+	Failed                       // no response or an error; it is retried after a delay
+	TokenOutdated                // refused because of an outdated fencing token
 )
 
 // progress is the state of the orders to one target for one boot and version.
@@ -73,11 +73,11 @@
 // Planner plans the orders of one pool during one ownership. Create it with
 // NewPlanner. It is not safe for concurrent use.
 type Planner struct {
-	pool         fleetconfig.Pool
-	loadInterval time.Duration
-	nextLoadAt   time.Duration        // earliest time of the next load order
-	targets      map[string]*progress // by name
-	tokenStale   bool                 // an engine refused the fencing token
+	pool          fleetconfig.Pool
+	loadInterval  time.Duration
+	nextLoadAt    time.Duration        // earliest time of the next load order
+	targets       map[string]*progress // by name
+	tokenOutdated bool                 // an engine refused the fencing token
 }
 
 // NewPlanner returns a planner for a pool whose ownership began at the time now.
@@ -93,19 +93,19 @@
 	p.pool, p.loadInterval = pool, loadInterval
 }
 
-// Stale reports whether an engine refused an order because of an outdated fencing
-// token. Plan returns no orders until Renewed is called.
-func (p *Planner) Stale() bool { return p.tokenStale }
+// HasOutdatedToken reports whether an engine refused an order because of an outdated fencing
+// token. Plan returns no orders until TokenRenewed is called.
+func (p *Planner) HasOutdatedToken() bool { return p.tokenOutdated }
 
-// Renewed records that the owner has obtained a newer fencing token.
-func (p *Planner) Renewed() { p.tokenStale = false }
+// TokenRenewed records that the owner has obtained a newer fencing token.
+func (p *Planner) TokenRenewed() { p.tokenOutdated = false }
 
 // Plan returns the orders to send now, at most one for each target. The caller must
-// report the outcome of each by Done. states lists all targets of the pool; Plan
+// report the outcome of each by RecordOutcome. states lists all targets of the pool; Plan
 // sorts it in place. returning names the data centres that are out of service and
 // return within ReturnLead.
 func (p *Planner) Plan(now time.Duration, states []api.TargetState, returning map[string]bool) []Order {
-	if p.tokenStale {
+	if p.tokenOutdated {
 		return nil
 	}
 	p.removeAbsent(states)
@@ -181,15 +181,15 @@
 	}
 }
 
-// Done records the outcome of an order. It ignores orders of an earlier boot of the
+// RecordOutcome records the outcome of an order. It ignores orders of an earlier boot of the
 // target or another version of the model.
-func (p *Planner) Done(now time.Duration, o Order, v Verdict) {
+func (p *Planner) RecordOutcome(now time.Duration, o Order, outcome Outcome) {
 	pr, ok := p.targets[o.Target.Name]
 	if !ok || pr.boot != o.Boot || pr.version != o.Version {
 		return
 	}
 	pr.inFlight = false
-	switch v {
+	switch outcome {
 	case Accepted:
 		pr.backoff, pr.retryAt = 0, 0
 		pr.loaded = true
@@ -197,7 +197,7 @@
 	case Failed:
 		pr.backoff = min(MaxRetry, max(FirstRetry, 2*pr.backoff))
 		pr.retryAt = now + pr.backoff
-	case Stale:
-		p.tokenStale = true
+	case TokenOutdated:
+		p.tokenOutdated = true
 	}
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -38,7 +38,7 @@
 			if o.Kind == Load {
 				loadTimes = append(loadTimes, now)
 			}
-			p.Done(now, o, Accepted)
+			p.RecordOutcome(now, o, Accepted)
 		}
 	}
 	is.Equal(len(loadTimes), 5) // one for each target
@@ -62,7 +62,7 @@
 		}
 		for _, o := range p.Plan(now, s, nil) {
 			kinds = append(kinds, o.Kind)
-			p.Done(now, o, Accepted)
+			p.RecordOutcome(now, o, Accepted)
 		}
 	}
 	is.Equal(kinds, []Kind{Load, Warm, Load, Warm})
@@ -100,7 +100,7 @@
 	for now := time.Duration(0); now < 5*time.Minute; now += 100 * time.Millisecond {
 		for _, o := range p.Plan(now, states(1), nil) {
 			sent++
-			p.Done(now, o, Failed)
+			p.RecordOutcome(now, o, Failed)
 		}
 	}
 	is.True(sent >= 5*60/30) // retried at least every MaxRetry
@@ -109,14 +109,14 @@
 
 // Guards against further orders with a fencing token that an engine refused as
 // outdated.
-func TestStaleTokenStopsOrders(t *testing.T) {
+func TestOutdatedTokenStopsOrders(t *testing.T) {
 	is := is.New(t)
 	p := NewPlanner(pool, loadInterval, 0)
 	o := p.Plan(loadInterval, states(2), nil)[0]
-	p.Done(loadInterval, o, Stale)
-	is.True(p.Stale())
+	p.RecordOutcome(loadInterval, o, TokenOutdated)
+	is.True(p.HasOutdatedToken())
 	is.Equal(len(p.Plan(time.Minute, states(2), nil)), 0)
-	p.Renewed()
+	p.TokenRenewed()
 	is.True(len(p.Plan(time.Minute, states(2), nil)) > 0)
 }
 
@@ -129,7 +129,7 @@
 	s := states(1)
 	s[0].Boot = 2
 	is.Equal(len(p.Plan(loadInterval, s, nil)), 0) // the next load order is not due yet
-	p.Done(loadInterval, old, Accepted)
+	p.RecordOutcome(loadInterval, old, Accepted)
 	got := p.Plan(3*loadInterval, s, nil)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Kind, Load)
--- a/internal/overload/bytes.go
+++ b/internal/overload/bytes.go
@@ -10,39 +10,39 @@
 // ErrNoMemory reports that the memory limit for responses is reached.
 var ErrNoMemory = errors.New("the answers under way take all memory for answers")
 
-// Bytes limits the memory that concurrent requests or responses use together. It is
+// MemoryLimit limits the memory that concurrent requests or responses use together. It is
 // safe for concurrent use.
-type Bytes struct {
+type MemoryLimit struct {
 	limit    int64
 	reserved atomic.Int64
 }
 
-// NewBytes returns a limit of the given number of bytes, all of them free.
-func NewBytes(limit int64) *Bytes { return &Bytes{limit: limit} }
+// NewMemoryLimit returns a limit of the given number of bytes, all of them free.
+func NewMemoryLimit(limit int64) *MemoryLimit { return &MemoryLimit{limit: limit} }
 
-// Take reserves n bytes. If that would exceed the limit, it reserves nothing and
+// Reserve reserves n bytes. If that would exceed the limit, it reserves nothing and
 // returns false.
-func (b *Bytes) Take(n int) bool {
-	if b.reserved.Add(int64(n)) <= b.limit {
+func (m *MemoryLimit) Reserve(n int) bool {
+	if m.reserved.Add(int64(n)) <= m.limit {
 		return true
 	}
-	b.Free(n)
+	m.Release(n)
 	return false
 }
 
-// Free releases n bytes that Take has reserved.
-func (b *Bytes) Free(n int) { b.reserved.Add(-int64(n)) }
+// Release releases n bytes that Reserve has reserved.
+func (m *MemoryLimit) Release(n int) { m.reserved.Add(-int64(n)) }
 
-// Held returns the number of reserved bytes.
-func (b *Bytes) Held() int64 { return b.reserved.Load() }
+// Reserved returns the number of reserved bytes.
+func (m *MemoryLimit) Reserved() int64 { return m.reserved.Load() }
 
 // Limit returns the limit in bytes.
-func (b *Bytes) Limit() int64 { return b.limit }
+func (m *MemoryLimit) Limit() int64 { return m.limit }
 
-// Buffer is a byte buffer whose capacity is reserved from a Bytes. Free must be called
+// Buffer is a byte buffer whose capacity is reserved from a MemoryLimit. Free must be called
 // when the content is no longer needed. It is not safe for concurrent use.
 type Buffer struct {
-	memory  *Bytes
+	memory  *MemoryLimit
 	content []byte
 }
 
@@ -50,7 +50,7 @@
 const minBufferSize = 512
 
 // NewBuffer returns an empty buffer that reserves its memory from b.
-func NewBuffer(b *Bytes) *Buffer { return &Buffer{memory: b} }
+func NewBuffer(m *MemoryLimit) *Buffer { return &Buffer{memory: m} }
 
 // ReadFrom appends the data of r until EOF. It returns ErrNoMemory if the memory limit
 // is reached, or the error of r.
@@ -87,7 +87,7 @@
 // grow doubles the capacity. It reports false if the memory limit is reached.
 func (b *Buffer) grow() bool {
 	size := max(minBufferSize, 2*cap(b.content))
-	if !b.memory.Take(size - cap(b.content)) {
+	if !b.memory.Reserve(size - cap(b.content)) {
 		return false
 	}
 	larger := make([]byte, len(b.content), size)
@@ -101,6 +101,6 @@
 
 // Free discards the content and releases its memory.
 func (b *Buffer) Free() {
-	b.memory.Free(cap(b.content))
+	b.memory.Release(cap(b.content))
 	b.content = nil
 }
--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -85,15 +85,15 @@
 // Rate returns the rate limit in requests a second, +Inf if there is none.
 func (g *Gate) Rate() float64 { return g.rateLimit }
 
-// Bounded reports whether the rate is limited.
-func (g *Gate) Bounded() bool { return !math.IsInf(g.rateLimit, 1) }
+// RateLimited reports whether the rate is limited.
+func (g *Gate) RateLimited() bool { return !math.IsInf(g.rateLimit, 1) }
 
 // Shedding reports whether requests were shed in one of the last periods, so that the
 // load balancer should send new callers to another instance.
 func (g *Gate) Shedding() bool { return g.ticksSinceShed < readyAfterTicks }
 
-// Late returns the moving average of the tick delay.
-func (g *Gate) Late() time.Duration { return g.meanDelay }
+// MeanDelay returns the moving average of the tick delay.
+func (g *Gate) MeanDelay() time.Duration { return g.meanDelay }
 
 // Allow counts a request of a workspace and reports whether it is accepted or shed.
 func (g *Gate) Allow(workspace string) bool {
@@ -125,7 +125,7 @@
 	case g.meanDelay > maxMeanDelay && delay > maxMeanDelay/2:
 		g.rateLimit = max(minRate, rateDecrease*min(g.rateLimit, max(acceptedRate, minRate)))
 		g.ticksWithoutShed = 0
-	case !g.Bounded():
+	case !g.RateLimited():
 	case g.shed == 0:
 		if g.ticksWithoutShed++; g.ticksWithoutShed >= unboundAfterTicks {
 			g.rateLimit = math.Inf(1)
--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -53,7 +53,7 @@
 	p.run(100, map[string]float64{"large": 900, "small": 20})
 	clear(p.served)
 	p.run(100, map[string]float64{"large": 900, "small": 20})
-	is.True(p.gate.Late() < 100*time.Millisecond)
+	is.True(p.gate.MeanDelay() < 100*time.Millisecond)
 	is.True(p.served["large"] > 10*100) // 100/s of the 190/s for which there is time besides shedding
 	is.True(p.served["small"] > 150)    // of 200 sent
 	is.True(p.backlog < 40*time.Millisecond)
@@ -133,12 +133,12 @@
 // Guards against memory that stays reserved after Take has returned false.
 func TestBytes(t *testing.T) {
 	is := is.New(t)
-	b := NewBytes(3)
-	is.True(b.Take(2))
-	is.True(!b.Take(2))
-	is.Equal(b.Held(), int64(2))
-	is.True(b.Take(1))
-	b.Free(2)
-	b.Free(1)
-	is.Equal(b.Held(), int64(0))
+	m := NewMemoryLimit(3)
+	is.True(m.Reserve(2))
+	is.True(!m.Reserve(2))
+	is.Equal(m.Reserved(), int64(2))
+	is.True(m.Reserve(1))
+	m.Release(2)
+	m.Release(1)
+	is.Equal(m.Reserved(), int64(0))
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -28,13 +28,13 @@
 	for _, targets := range []int{8, 64, 256, 1024} {
 		b.Run(fmt.Sprint(targets, " targets"), func(b *testing.B) {
 			s := newBusyFleet(targets)
-			a := Ask{Service: "m", Workspace: "w1", PromptTokens: 12_000, OutputTokens: 378, Objective: 800 * time.Millisecond,
-				Allowed: 800 * time.Millisecond, Last: 12 * second, DataCentre: "z1"}
+			req := Request{Service: "m", Workspace: "w1", PromptTokens: 12_000, OutputTokens: 378, Objective: 800 * time.Millisecond,
+				RouteObjective: 800 * time.Millisecond, Deadline: 12 * second, DataCentre: "z1"}
 			b.ResetTimer()
 			for i := range b.N {
-				a.Prompt = []Part{{ID: hashPart("compare", i%40), Tokens: 5382}, {ID: PartID(i + 1), Tokens: 6610}}
+				req.Prompt = []Part{{ID: hashPart("compare", i%40), Tokens: 5382}, {ID: PartID(i + 1), Tokens: 6610}}
 				k := Key{"n0", uint64(1_000_000 + i)}
-				s.owner.Ask(k, a, s.now)
+				s.owner.Submit(k, req, s.now)
 				s.owner.End(k, api.WorkUnsent, s.now)
 				s.owner.Decisions()
 			}
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -90,32 +90,32 @@
 	}
 	preferred := o.affinityTarget(w)
 	if preferred != nil {
-		c := consider(preferred, preferred.cache.uncachedTokens(w.ask.Prompt))
+		c := consider(preferred, preferred.cache.uncachedTokens(w.request.Prompt))
 		c.score -= affinityBonus
 		keepBest(c)
 	}
 	var caching map[*target]struct{}
-	if len(w.ask.Prompt) > 1 {
-		caching = o.cacheIndex[w.ask.Prompt[0].ID]
+	if len(w.request.Prompt) > 1 {
+		caching = o.cacheIndex[w.request.Prompt[0].ID]
 	}
 	for t := range caching {
-		if t != preferred && t.info.Service == w.ask.Service && o.inService(t) {
-			keepBest(consider(t, t.cache.uncachedTokens(w.ask.Prompt)))
+		if t != preferred && t.info.Service == w.request.Service && o.inService(t) {
+			keepBest(consider(t, t.cache.uncachedTokens(w.request.Prompt)))
 		}
 	}
 	promptTokens := 0
-	for _, p := range w.ask.Prompt {
+	for _, p := range w.request.Prompt {
 		promptTokens += p.Tokens
 	}
-	others := o.usable[w.ask.Service]
+	others := o.usable[w.request.Service]
 	for i := range min(len(others), maxScannedTargets) {
 		t := others[(o.scanFrom+i)%len(others)]
 		if _, isCaching := caching[t]; isCaching || t == preferred {
 			continue
 		}
 		uncached := promptTokens
-		if len(w.ask.Prompt) == 1 {
-			uncached = t.cache.uncachedTokens(w.ask.Prompt)
+		if len(w.request.Prompt) == 1 {
+			uncached = t.cache.uncachedTokens(w.request.Prompt)
 		}
 		if best.target == nil || o.minScore(t, w, uncached, now) <= best.score {
 			keepBest(consider(t, uncached))
@@ -157,13 +157,13 @@
 	c.firstEventAfter = max(backlog, c.wait) + prefill + baseLatency
 	c.score = c.firstEventAfter + time.Duration(prefillWeight*float64(prefill)) + time.Duration(len(t.running))*runningRequestCost +
 		time.Duration(t.health.failureRatio*float64(failureTimeCost))
-	if t.info.DataCentre != w.ask.DataCentre {
+	if t.info.DataCentre != w.request.DataCentre {
 		c.score += remoteDataCentreCost
 	}
 	if w.missesObjective(c.firstEventAfter, now) {
 		c.score += missedObjectivePenalty
 	}
-	if t.health.suspectUntil > now || slices.Contains(w.ask.Tried, t.info.ID) {
+	if t.health.suspectUntil > now || slices.Contains(w.request.Tried, t.info.ID) {
 		c.score += suspectPenalty
 	}
 	return c
@@ -187,8 +187,8 @@
 // affinityTarget returns the target that is preferred for the shared parts of a prompt while
 // no target has cached them, or nil.
 func (o *Owner) affinityTarget(w *work) *target {
-	usable := o.usable[w.ask.Service]
-	i := rendezvousIndex(HomePart(w.ask.Prompt), len(usable), func(i int) (uint64, bool) { return usable[i].idHash, true })
+	usable := o.usable[w.request.Service]
+	i := rendezvousIndex(AffinityPart(w.request.Prompt), len(usable), func(i int) (uint64, bool) { return usable[i].idHash, true })
 	if i < 0 {
 		return nil
 	}
@@ -216,9 +216,9 @@
 	return best
 }
 
-// HomePart returns the part by which a prompt's affinity target is selected: the last one
+// AffinityPart returns the part by which a prompt's affinity target is selected: the last one
 // that it shares with other requests, which is the last but one. 0 = none.
-func HomePart(prompt []Part) PartID {
+func AffinityPart(prompt []Part) PartID {
 	if len(prompt) < 2 {
 		return 0
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -23,13 +23,13 @@
 				tg.health.suspectUntil = s.now + second
 			}
 		}
-		a := Ask{Service: "m", Workspace: "w", PromptTokens: 3000, OutputTokens: rapid.IntRange(1, 400).Draw(t, "output"),
-			Objective: time.Duration(rapid.IntRange(50, 800).Draw(t, "ms")) * time.Millisecond, Last: 10 * second, Allowed: second}
-		a.Prompt = []Part{{ID: hashPart("compare", rapid.IntRange(0, 60).Draw(t, "part")), Tokens: 2000}, {ID: 1, Tokens: 1000}}
+		req := Request{Service: "m", Workspace: "w", PromptTokens: 3000, OutputTokens: rapid.IntRange(1, 400).Draw(t, "output"),
+			Objective: time.Duration(rapid.IntRange(50, 800).Draw(t, "ms")) * time.Millisecond, Deadline: 10 * second, RouteObjective: second}
+		req.Prompt = []Part{{ID: hashPart("compare", rapid.IntRange(0, 60).Draw(t, "part")), Tokens: 2000}, {ID: 1, Tokens: 1000}}
 		if rapid.Bool().Draw(t, "alone") {
-			a.Prompt = a.Prompt[1:]
+			req.Prompt = req.Prompt[1:]
 		}
-		w := newWork(Key{"x", 1}, a, s.now)
+		w := newWork(Key{"x", 1}, req, s.now)
 		w.effectiveObjectiveAt, w.predictedMiss = w.objectiveAt, rapid.Bool().Draw(t, "late")
 		got, ok := s.owner.choose(w, s.now)
 		var want candidate
@@ -37,7 +37,7 @@
 			if !s.owner.inService(tg) {
 				continue
 			}
-			c := s.owner.predict(tg, w, tg.cache.uncachedTokens(a.Prompt), s.now)
+			c := s.owner.predict(tg, w, tg.cache.uncachedTokens(req.Prompt), s.now)
 			if tg == s.owner.affinityTarget(w) {
 				c.score -= affinityBonus
 			}
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -26,12 +26,12 @@
 // misses its objective on all targets gets a lower rank and takes the remaining capacity.
 func (o *Owner) decide(w *work, now time.Duration) {
 	w.excess, w.predictedMiss, w.overloaded = 0, false, false
-	if !w.ask.Resumes {
-		w.excess = o.shares.excess(w.ask.Workspace, w.cost)
-		w.overloaded = o.shares.overloaded(w.ask.Workspace)
+	if !w.request.Resumes {
+		w.excess = o.shares.excess(w.request.Workspace, w.cost)
+		w.overloaded = o.shares.overloaded(w.request.Workspace)
 	}
 	c, ok := o.choose(w, now)
-	if ok && !w.missCounted && !w.ask.Resumes && w.missesObjective(c.firstEventAfter, now) {
+	if ok && !w.missCounted && !w.request.Resumes && w.missesObjective(c.firstEventAfter, now) {
 		w.missCounted = true
 		o.shares.recordMissed(w.cost)
 	}
@@ -64,23 +64,23 @@
 
 // refusalCode returns the reason to refuse a request, or "" if it is accepted.
 func (o *Owner) refusalCode(w *work, c candidate, now time.Duration) string {
-	if w.ask.Resumes {
+	if w.request.Resumes {
 		return ""
 	}
 	missed := w.missesObjective(c.firstEventAfter, now)
 	if missed {
-		o.shares.recordUnmet(w.ask.Workspace, now)
+		o.shares.recordUnmet(w.request.Workspace, now)
 	}
-	overShare := o.shares.exceedsShare(w.ask.Workspace, w.cost)
+	overShare := o.shares.exceedsShare(w.request.Workspace, w.cost)
 	switch {
-	case overShare && c.wait > 0 && o.shares.exceedsBusyLead(w.ask.Workspace, w.cost, now):
-		return CodeYield
-	case overShare && o.shares.exceedsIdleLead(w.ask.Workspace, w.cost, now):
-		return CodeYield
-	case missed && (w.excess > 0 || o.shares.overloaded(w.ask.Workspace)):
-		return CodeShare
+	case overShare && c.wait > 0 && o.shares.exceedsBusyLead(w.request.Workspace, w.cost, now):
+		return CodeShareYields
+	case overShare && o.shares.exceedsIdleLead(w.request.Workspace, w.cost, now):
+		return CodeShareYields
+	case missed && (w.excess > 0 || o.shares.overloaded(w.request.Workspace)):
+		return CodeShareExceeded
 	case missed && now+c.firstEventAfter+responseMargin > w.callerGivesUpAt():
-		return CodeLate
+		return CodeTooLate
 	}
 	return ""
 }
@@ -88,16 +88,16 @@
 // callerGivesUpAt returns when the caller is expected to abandon the request without a first
 // event.
 func (w *work) callerGivesUpAt() time.Duration {
-	firstAskedAt := w.objectiveAt - w.ask.Allowed // for a retry, when the first attempt arrived
-	return min(w.deadline, firstAskedAt+max(minGiveUpTime, giveUpFactor*w.ask.Allowed))
+	firstSubmittedAt := w.objectiveAt - w.request.RouteObjective // for a retry, when the first attempt arrived
+	return min(w.deadline, firstSubmittedAt+max(minGiveUpTime, giveUpFactor*w.request.RouteObjective))
 }
 
 func (o *Owner) refuse(w *work, c candidate, code string, wait, now time.Duration) {
 	delete(o.requests, w.key)
-	if !w.ask.Resumes {
-		o.retries.remember(uniquePart(w.ask.Prompt), w.objectiveAt, now)
+	if !w.request.Resumes {
+		o.retries.remember(uniquePart(w.request.Prompt), w.objectiveAt, now)
 	}
-	if code == CodeYield {
+	if code == CodeShareYields {
 		wait = o.shares.window / windowSlots
 	}
 	d := o.newDecision(w, c)
@@ -107,17 +107,17 @@
 
 func (o *Owner) grant(w *work, c candidate, now time.Duration) {
 	c.target.start(w, now)
-	if !w.ask.Resumes {
-		o.shares.recordGranted(w.ask.Workspace, w.cost)
+	if !w.request.Resumes {
+		o.shares.recordGranted(w.request.Workspace, w.cost)
 	}
 	d := o.newDecision(w, c)
-	d.Target, d.Wait = c.target.info.ID, now-w.askedAt
+	d.Target, d.QueueDelay = c.target.info.ID, now-w.submittedAt
 	o.decisions = append(o.decisions, d)
 }
 
 func (o *Owner) newDecision(w *work, c candidate) Decision {
 	return Decision{
-		Key: w.key, Excess: w.excess, Pass: o.shares.forwardShare(w.ask.Workspace), Wait: c.wait, Missing: c.uncached, Least: c.minUncached, LeastWait: c.minUncachedWait,
+		Key: w.key, Excess: w.excess, ForwardShare: o.shares.forwardShare(w.request.Workspace), QueueDelay: c.wait, UncachedTokens: c.uncached, MinUncachedTokens: c.minUncached, MinUncachedWait: c.minUncachedWait,
 	}
 }
 
@@ -138,10 +138,10 @@
 			return
 		}
 		o.dropPending(w)
-		c := o.predict(t, w, t.cache.uncachedTokens(w.ask.Prompt), now)
+		c := o.predict(t, w, t.cache.uncachedTokens(w.request.Prompt), now)
 		c.wait, c.minUncached = 0, c.uncached
-		if !w.ask.Resumes {
-			w.excess = o.shares.excess(w.ask.Workspace, w.cost)
+		if !w.request.Resumes {
+			w.excess = o.shares.excess(w.request.Workspace, w.cost)
 		}
 		if code := o.refusalCode(w, c, now); code != "" {
 			o.refuse(w, c, code, 0, now)
@@ -156,7 +156,7 @@
 func (o *Owner) rerankMissed(t *target, now time.Duration) {
 	for _, w := range t.pending {
 		firstEventAfter := t.prefillTime(float64(w.pendingUncached)) + baseLatency
-		if w.pendingRank < rankMissesObjective && !w.ask.Resumes && w.missesObjective(firstEventAfter, now) {
+		if w.pendingRank < rankMissesObjective && !w.request.Resumes && w.missesObjective(firstEventAfter, now) {
 			w.predictedMiss = true
 			t.updatePendingRank(w)
 		}
@@ -187,7 +187,7 @@
 			continue
 		}
 		w.reviewedAt = now
-		if !w.predictedMiss && !w.missesObjective(o.predict(t, w, t.cache.uncachedTokens(w.ask.Prompt), now).firstEventAfter, now) {
+		if !w.predictedMiss && !w.missesObjective(o.predict(t, w, t.cache.uncachedTokens(w.request.Prompt), now).firstEventAfter, now) {
 			continue
 		}
 		o.dropPending(w)
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -3,7 +3,7 @@
 // of the workspaces.
 //
 // Owner schedules the model requests of the whole fleet. It runs on one control instance and
-// decides from a model of each target. Flood runs on the entry instances and refuses part of
+// decides from a model of each target. Throttle runs on the entry instances and refuses part of
 // the requests of overloaded workspaces on the owner's behalf.
 //
 // Local schedules on one entry instance, from that instance's own requests alone. It serves
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -53,21 +53,22 @@
 
 // Query describes one selection of a target.
 type Query struct {
-	Service string
-	Targets []api.Target
-	Out     map[string]bool // data centres out of service
-	Tried   []string        // IDs of targets to which the request was already sent
-	Now     time.Duration
-	// Home is the prompt part by which the affinity target is selected, from HomePart; 0 = none.
-	Home PartID
-	// MostRunning bounds the requests of this instance on one target; 0 = no bound.
-	MostRunning int
+	Service      string
+	Targets      []api.Target
+	OutOfService map[string]bool // data centres out of service
+	Tried        []string        // IDs of targets to which the request was already sent
+	Now          time.Duration
+	// AffinityPart is the prompt part by which the affinity target is selected, from
+	// the function AffinityPart; 0 = none.
+	AffinityPart PartID
+	// MaxRunning bounds the requests of this instance on one target; 0 = no bound.
+	MaxRunning int
 	// Random is uniform in [0, 1). It breaks ties between targets with equal cost.
 	Random float64
 }
 
 // Choose returns the target with the lowest cost, or false if none is usable. Targets that
-// leave the list, are cold, have MostRunning requests or are in a data centre out of service
+// leave the list, are cold, have MaxRunning requests or are in a data centre out of service
 // are not used. Targets that are suspect or already tried are used only if there is no other.
 func (l *Local) Choose(q Query) (api.Target, bool) {
 	best, minCost := -1, math.Inf(1)
@@ -79,7 +80,7 @@
 		if !q.usable(t) {
 			continue
 		}
-		if q.MostRunning > 0 && l.loadOf(t).running >= q.MostRunning {
+		if q.MaxRunning > 0 && l.loadOf(t).running >= q.MaxRunning {
 			continue
 		}
 		c := l.cost(t, q)
@@ -98,13 +99,13 @@
 
 // usable reports whether a target serves the query's service and accepts new requests.
 func (q *Query) usable(t *api.Target) bool {
-	return t.Service == q.Service && !t.Leaving && !q.Out[t.DataCentre] && t.ColdUntil <= q.Now
+	return t.Service == q.Service && !t.Leaving && !q.OutOfService[t.DataCentre] && t.ColdUntil <= q.Now
 }
 
 // affinityIndex returns the index of the target that all instances prefer for the prompt
 // part, or -1.
 func (q *Query) affinityIndex() int {
-	return rendezvousIndex(q.Home, len(q.Targets), func(i int) (uint64, bool) {
+	return rendezvousIndex(q.AffinityPart, len(q.Targets), func(i int) (uint64, bool) {
 		t := &q.Targets[i]
 		if !q.usable(t) {
 			return 0, false
@@ -166,8 +167,8 @@
 	return mean + time.Duration(latencyWeight*float64(newest-mean))
 }
 
-// Keep removes the records of targets that are not in the list and have no running requests.
-func (l *Local) Keep(targets []api.Target) {
+// Retain removes the records of targets that are not in the list and have no running requests.
+func (l *Local) Retain(targets []api.Target) {
 	listed := make(map[string]bool, len(targets))
 	for _, t := range targets {
 		listed[t.ID] = true
--- a/internal/placement/owner.go
+++ b/internal/placement/owner.go
@@ -16,8 +16,8 @@
 	Number uint64
 }
 
-// Ask is a request for which an entry instance asks the owner for a target.
-type Ask struct {
+// Request describes a request for which an entry instance asks the owner for a target.
+type Request struct {
 	Service   string
 	Workspace string
 	// DataCentre is the data centre of the entry instance.
@@ -25,16 +25,16 @@
 	PromptTokens int
 	OutputTokens int // estimate
 	Prompt       []Part
-	// Objective is the time until the first event is due, Last the time until the response
-	// is of no use any more. Both are relative to the call of Owner.Ask.
-	Objective, Last time.Duration
-	// Allowed is the whole objective of the route, from the caller's request on.
-	Allowed time.Duration
-	Tried   []string // IDs of targets to which the request was already sent
-	Resumes bool     // the request continues an interrupted stream
+	// Objective is the time until the first event is due, Deadline the time until the response
+	// is of no use any more. Both are relative to the call of Owner.Submit.
+	Objective, Deadline time.Duration
+	// RouteObjective is the whole objective of the route, from the caller's request on.
+	RouteObjective time.Duration
+	Tried          []string // IDs of targets to which the request was already sent
+	Resumes        bool     // the request continues an interrupted stream
 }
 
-// Decision is the owner's reply to an Ask: a grant with a target, or a refusal with a code.
+// Decision is the owner's reply to a Request: a grant with a target, or a refusal with a code.
 type Decision struct {
 	Key Key
 	// Target is the ID of the granted target; "" = refused.
@@ -42,33 +42,33 @@
 	// Code is the reason of a refusal, RetryAfter when the caller may retry.
 	Code       string
 	RetryAfter time.Duration
-	// Wait is the queue delay of a granted request, or the predicted one of a refused
+	// QueueDelay is the queue delay of a granted request, or the predicted one of a refused
 	// request. Excess is the ratio of the workspace's tokens to its share, 0 within the share.
-	Wait   time.Duration
-	Excess float64
-	// Pass is the share of the workspace's requests that the entry instance forwards to the
+	QueueDelay time.Duration
+	Excess     float64
+	// ForwardShare is the share of the workspace's requests that the entry instance forwards to the
 	// owner from now on; 1 = all.
-	Pass float64
-	// Missing is the number of uncached prompt tokens on the target, Least the lowest such
-	// number on any target that was examined, and LeastWait the predicted wait for that
-	// target. For a request that starts from the queue, Least equals Missing.
-	Missing, Least int
-	LeastWait      time.Duration
+	ForwardShare float64
+	// UncachedTokens is the number of uncached prompt tokens on the target,
+	// MinUncachedTokens the lowest such number on any target that was examined, and MinUncachedWait the predicted wait for that
+	// target. For a request that starts from the queue, MinUncachedTokens equals UncachedTokens.
+	UncachedTokens, MinUncachedTokens int
+	MinUncachedWait                   time.Duration
 }
 
 // Reasons of refusals.
 const (
-	CodeNoTarget = "no_target"      // no target of the service accepts requests
-	CodeLate     = "too_late"       // the first event would come after the caller gives up
-	CodeShare    = "share_exceeded" // misses its objective, and the workspace exceeds its share
-	CodeYield    = "share_yields"   // yields to other workspaces with unmet demand
+	CodeNoTarget      = "no_target"      // no target of the service accepts requests
+	CodeTooLate       = "too_late"       // the first event would come after the caller gives up
+	CodeShareExceeded = "share_exceeded" // misses its objective, and the workspace exceeds its share
+	CodeShareYields   = "share_yields"   // yields to other workspaces with unmet demand
 )
 
 // View is the configuration and fleet state that the owner decides by.
 type View struct {
-	Services map[string]*routing.Service // by name
-	Targets  []api.Target
-	Out      map[string]bool // data centres out of service
+	Services     map[string]*routing.Service // by name
+	Targets      []api.Target
+	OutOfService map[string]bool // data centres out of service
 	// TokensPerSecond is the configured throughput of all engines together, in tokens as
 	// shares count them: prompt tokens plus twice the output tokens.
 	TokensPerSecond float64
@@ -159,28 +159,28 @@
 	return s != nil && s.Engine != nil
 }
 
-// Ask decides on a request or queues it; Decisions returns the result. An Ask for a key that
-// is already known is ignored.
-func (o *Owner) Ask(k Key, a Ask, now time.Duration) {
+// Submit decides on a request or queues it; Decisions returns the result. A request
+// whose key is already known is ignored.
+func (o *Owner) Submit(k Key, req Request, now time.Duration) {
 	if o.requests[k] != nil {
 		return
 	}
 	o.advanceShares(now)
-	w := newWork(k, a, now)
+	w := newWork(k, req, now)
 	o.requests[k] = w
-	w.effectiveObjectiveAt = max(w.objectiveAt, now+time.Duration(longPromptFactor*float64(o.typicalPrefillTime(a)+baseLatency)))
-	if firstObjectiveAt, isRetry := o.retries.firstObjective(uniquePart(a.Prompt)); isRetry && !a.Resumes {
+	w.effectiveObjectiveAt = max(w.objectiveAt, now+time.Duration(longPromptFactor*float64(o.typicalPrefillTime(req)+baseLatency)))
+	if firstObjectiveAt, isRetry := o.retries.firstObjective(uniquePart(req.Prompt)); isRetry && !req.Resumes {
 		w.objectiveAt = min(w.objectiveAt, firstObjectiveAt)
 		w.effectiveObjectiveAt, w.missCounted = w.objectiveAt, true // late because of its first attempt, not for lack of capacity
-	} else if !a.Resumes {
-		o.shares.recordRequested(a.Workspace, w.cost)
+	} else if !req.Resumes {
+		o.shares.recordRequested(req.Workspace, w.cost)
 	}
 	o.decide(w, now)
 }
 
-// Refused counts a request that a throttling entry instance refused on the owner's behalf:
+// CountThrottled counts a request that a throttling entry instance refused on the owner's behalf:
 // its tokens, its unique prompt part, and the time left until its first event is due.
-func (o *Owner) Refused(workspace string, tokens int, uniquePart PartID, objective, now time.Duration) {
+func (o *Owner) CountThrottled(workspace string, tokens int, uniquePart PartID, objective, now time.Duration) {
 	o.advanceShares(now)
 	if _, isRetry := o.retries.firstObjective(uniquePart); !isRetry {
 		o.shares.recordRequested(workspace, float64(tokens))
@@ -189,9 +189,9 @@
 	o.shares.recordUnmet(workspace, now)
 }
 
-// TurnedAway counts requests of a workspace, in tokens, that an entry instance shed for lack
+// CountShed counts requests of a workspace, in tokens, that an entry instance shed for lack
 // of processor time or memory.
-func (o *Owner) TurnedAway(workspace string, tokens int, now time.Duration) {
+func (o *Owner) CountShed(workspace string, tokens int, now time.Duration) {
 	o.advanceShares(now)
 	o.shares.recordShed(workspace, float64(tokens), now)
 }
@@ -202,8 +202,8 @@
 
 // typicalPrefillTime returns the prefill time of a whole prompt at the mean rate of the
 // service's targets, 0 without targets.
-func (o *Owner) typicalPrefillTime(a Ask) time.Duration {
-	usable := o.usable[a.Service]
+func (o *Owner) typicalPrefillTime(req Request) time.Duration {
+	usable := o.usable[req.Service]
 	if len(usable) == 0 {
 		return 0
 	}
@@ -213,14 +213,14 @@
 		sum += usable[i].prefillRate
 		n++
 	}
-	return time.Duration(float64(a.PromptTokens) / (sum / float64(n)) * float64(time.Millisecond))
+	return time.Duration(float64(req.PromptTokens) / (sum / float64(n)) * float64(time.Millisecond))
 }
 
-// Running adds a request that runs on a target without a decision of this owner: the previous
+// AddRunning adds a request that runs on a target without a decision of this owner: the previous
 // owner or the entry instance itself placed it. It was sent sentAgo before now; firstEvent
 // reports whether its first event has arrived. A request already known to run is left
 // unchanged. If the target is unknown, the request is dropped.
-func (o *Owner) Running(k Key, a Ask, targetID string, firstEvent bool, sentAgo, now time.Duration) {
+func (o *Owner) AddRunning(k Key, req Request, targetID string, firstEvent bool, sentAgo, now time.Duration) {
 	if w := o.requests[k]; w != nil {
 		if w.target != nil {
 			return
@@ -232,7 +232,7 @@
 		delete(o.requests, k)
 		return
 	}
-	w := newWork(k, a, now)
+	w := newWork(k, req, now)
 	o.requests[k] = w
 	t.start(w, now-max(0, sentAgo))
 	if firstEvent {
@@ -241,9 +241,9 @@
 	}
 }
 
-// Began records the first event of a running request and starts queued requests for which the
-// target now has capacity.
-func (o *Owner) Began(k Key, now time.Duration) {
+// RecordFirstEvent records the first event of a running request and starts queued requests
+// for which the target now has capacity.
+func (o *Owner) RecordFirstEvent(k Key, now time.Duration) {
 	if w := o.requests[k]; w != nil && w.target != nil {
 		w.target.recordFirstEvent(w, now)
 		o.startPending(w.target, now)
@@ -270,7 +270,7 @@
 	}
 	switch outcome {
 	case api.WorkUnreachable, api.WorkUnsent, api.WorkFull, api.WorkOther:
-		o.shares.recordGranted(w.ask.Workspace, -w.cost)
+		o.shares.recordGranted(w.request.Workspace, -w.cost)
 	}
 	if w.target.health.suspectUntil > now {
 		o.redecidePending(w.target, now)
@@ -293,9 +293,9 @@
 	o.meanRunTimes[service] = mean + time.Duration(runTimeWeight*float64(runTime-mean))
 }
 
-// Forget removes all requests of an entry instance that is disconnected. Capacity that becomes
+// RemoveEntry removes all requests of an entry instance that is disconnected. Capacity that becomes
 // free is used by the next Tick.
-func (o *Owner) Forget(entry string) {
+func (o *Owner) RemoveEntry(entry string) {
 	for k, w := range o.requests {
 		if k.Entry != entry {
 			continue
@@ -312,8 +312,8 @@
 // Waiting returns the number of queued requests.
 func (o *Owner) Waiting() int { return o.numPending }
 
-// Entries returns the entry instances that have queued requests, in no particular order.
-func (o *Owner) Entries() []string {
+// WaitingEntries returns the entry instances that have queued requests, in no particular order.
+func (o *Owner) WaitingEntries() []string {
 	seen := map[string]bool{}
 	var out []string
 	for _, t := range o.sortedTargets {
@@ -379,5 +379,5 @@
 
 // inService reports whether a target accepts new requests.
 func (o *Owner) inService(t *target) bool {
-	return !t.info.Leaving && !o.view.Out[t.info.DataCentre]
+	return !t.info.Leaving && !o.view.OutOfService[t.info.DataCentre]
 }
--- a/internal/placement/owner_test.go
+++ b/internal/placement/owner_test.go
@@ -61,7 +61,7 @@
 	}
 	s.run(60 * second)
 	all := s.summarize(4*second, 20*second, func(c *call) bool { return c.kind == "draft" })
-	long := s.summarize(4*second, 20*second, func(c *call) bool { return c.kind == "draft" && c.ask.PromptTokens > 4900+15200 })
+	long := s.summarize(4*second, 20*second, func(c *call) bool { return c.kind == "draft" && c.request.PromptTokens > 4900+15200 })
 	t.Logf("all %+v long %+v", all, long)
 	is := is.New(t)
 	is.True(long.asked > 20)
@@ -78,8 +78,8 @@
 	o := s.summarize(10*second, 30*second, func(*call) bool { return true })
 	uniqueTokens := 0
 	for _, c := range s.calls {
-		if c.askedAt >= 10*second && c.firstEventAt > 0 {
-			uniqueTokens += c.ask.Prompt[1].Tokens
+		if c.submittedAt >= 10*second && c.firstEventAt > 0 {
+			uniqueTokens += c.request.Prompt[1].Tokens
 		}
 	}
 	repeatedShare := float64(o.prefilled-uniqueTokens) / (4900 * float64(o.started))
@@ -129,10 +129,10 @@
 func TestLeavingTargets(t *testing.T) {
 	is := is.New(t)
 	s := newSim(8, 2, 1, 100_000, 100_000)
-	ask := Ask{Service: "m", Workspace: "w", PromptTokens: 100, OutputTokens: 10, Objective: 5 * second, Last: 20 * second,
-		Allowed: 5 * second, Prompt: []Part{{ID: 1, Tokens: 50}, {ID: 2, Tokens: 50}}}
+	request := Request{Service: "m", Workspace: "w", PromptTokens: 100, OutputTokens: 10, Objective: 5 * second, Deadline: 20 * second,
+		RouteObjective: 5 * second, Prompt: []Part{{ID: 1, Tokens: 50}, {ID: 2, Tokens: 50}}}
 	for n := range uint64(4) {
-		s.owner.Ask(Key{"n", n}, ask, 0)
+		s.owner.Submit(Key{"n", n}, request, 0)
 	}
 	d := s.owner.Decisions()
 	is.Equal(len(d), 2) // two slots
@@ -145,7 +145,7 @@
 		is.Equal(x.Code, CodeNoTarget)
 	}
 	is.Equal(s.owner.Waiting(), 0)
-	s.owner.Ask(Key{"n", 9}, Ask{Service: "unknown"}, 0)
+	s.owner.Submit(Key{"n", 9}, Request{Service: "unknown"}, 0)
 	is.Equal(s.owner.Decisions()[0].Code, CodeNoTarget)
 }
 
@@ -154,17 +154,17 @@
 func TestTakeover(t *testing.T) {
 	is := is.New(t)
 	s := newSim(9, 1, 2, 100_000, 100_000)
-	ask := Ask{Service: "m", Workspace: "w", PromptTokens: 10, OutputTokens: 1, Objective: 5 * second, Last: 20 * second,
-		Allowed: 5 * second, Prompt: []Part{{ID: 1, Tokens: 10}}}
-	s.owner.Running(Key{"a", 1}, ask, "e00", true, 0, 0)
-	s.owner.Running(Key{"a", 1}, ask, "e00", true, 0, 0)
-	s.owner.Running(Key{"a", 2}, ask, "gone", false, 0, 0)
-	s.owner.Ask(Key{"a", 3}, ask, 0)
-	s.owner.Ask(Key{"a", 3}, ask, 0)
+	request := Request{Service: "m", Workspace: "w", PromptTokens: 10, OutputTokens: 1, Objective: 5 * second, Deadline: 20 * second,
+		RouteObjective: 5 * second, Prompt: []Part{{ID: 1, Tokens: 10}}}
+	s.owner.AddRunning(Key{"a", 1}, request, "e00", true, 0, 0)
+	s.owner.AddRunning(Key{"a", 1}, request, "e00", true, 0, 0)
+	s.owner.AddRunning(Key{"a", 2}, request, "gone", false, 0, 0)
+	s.owner.Submit(Key{"a", 3}, request, 0)
+	s.owner.Submit(Key{"a", 3}, request, 0)
 	is.Equal(len(s.owner.Decisions()), 1)
-	s.owner.Ask(Key{"b", 1}, ask, 0)
+	s.owner.Submit(Key{"b", 1}, request, 0)
 	is.Equal(len(s.owner.Decisions()), 0) // both slots are occupied
-	s.owner.Forget("a")
+	s.owner.RemoveEntry("a")
 	s.owner.Tick(20 * time.Millisecond)
 	d := s.owner.Decisions()
 	is.Equal(len(d), 1)
@@ -209,10 +209,10 @@
 				}
 				open[k] = true
 				n := rapid.IntRange(1, 900).Draw(t, "tokens")
-				o.Ask(k, Ask{Service: "m", Workspace: fmt.Sprint("w", n%3), PromptTokens: n, OutputTokens: n % 50, Objective: second, Allowed: second,
-					Last: 4 * second, Prompt: []Part{{PartID(n % 5), n / 2}, {PartID(1000 + n), n - n/2}}}, now)
+				o.Submit(k, Request{Service: "m", Workspace: fmt.Sprint("w", n%3), PromptTokens: n, OutputTokens: n % 50, Objective: second, RouteObjective: second,
+					Deadline: 4 * second, Prompt: []Part{{PartID(n % 5), n / 2}, {PartID(1000 + n), n - n/2}}}, now)
 			case 2:
-				o.Began(k, now)
+				o.RecordFirstEvent(k, now)
 			case 3:
 				outcome := rapid.SampledFrom([]api.WorkOutcome{api.WorkServed, api.WorkBroken, api.WorkFull, api.WorkUnsent, api.WorkLate}).Draw(t, "outcome")
 				if open[k] && !decided[k] {
@@ -234,7 +234,7 @@
 				waiting += len(tg.pending)
 				used := 0
 				for _, w := range tg.running {
-					used += w.ask.OutputTokens
+					used += w.request.OutputTokens
 				}
 				if used != tg.outputTokens || len(tg.running) > tg.slots() {
 					t.Fatalf("output tokens %d, want %d; %d of %d slots in use", tg.outputTokens, used, len(tg.running), tg.slots())
@@ -269,22 +269,22 @@
 	slices.SortFunc(keys, func(a, b Key) int { return cmp.Compare(a.Number, b.Number) })
 	for _, k := range keys {
 		if c := s.calls[k]; !c.done && c.target != "" {
-			s.owner.Running(k, c.remainingAsk(s.now), c.target, c.firstEventAt > 0, s.now-c.sentAt, s.now)
+			s.owner.AddRunning(k, c.remainingRequest(s.now), c.target, c.firstEventAt > 0, s.now-c.sentAt, s.now)
 		}
 	}
 	for _, k := range keys {
 		if c := s.calls[k]; !c.done && c.target == "" {
-			s.owner.Ask(k, c.remainingAsk(s.now), s.now)
+			s.owner.Submit(k, c.remainingRequest(s.now), s.now)
 		}
 	}
 }
 
-// remainingAsk returns the ask as the entry instance repeats it to a new owner.
-func (c *call) remainingAsk(now time.Duration) Ask {
-	a := c.ask
-	a.Objective -= now - c.askedAt
-	a.Last -= now - c.askedAt
-	return a
+// remainingRequest returns the request as the entry instance repeats it to a new owner.
+func (c *call) remainingRequest(now time.Duration) Request {
+	req := c.request
+	req.Objective -= now - c.submittedAt
+	req.Deadline -= now - c.submittedAt
+	return req
 }
 
 // Guards against a new owner that overestimates the backlog of the targets: on the Quito site
--- a/internal/placement/sim_test.go
+++ b/internal/placement/sim_test.go
@@ -21,11 +21,11 @@
 	view         View
 	number       uint64
 	calls        map[Key]*call
-	messageDelay time.Duration      // between entry instances and owner
-	tokenPauseMs float64            // milliseconds per output token in addition to the step
-	retries      bool               // refused callers retry once, after the advised time
-	throttles    map[string]*Flood  // by entry instance; nil = no throttling
-	shedShare    map[string]float64 // share of a workspace's requests that entry instances shed
+	messageDelay time.Duration        // between entry instances and owner
+	tokenPauseMs float64              // milliseconds per output token in addition to the step
+	retries      bool                 // refused callers retry once, after the advised time
+	throttles    map[string]*Throttle // by entry instance; nil = no throttling
+	shedShare    map[string]float64   // share of a workspace's requests that entry instances shed
 }
 
 // engine is a simulated target.
@@ -43,10 +43,10 @@
 
 // call is a simulated request and its outcome.
 type call struct {
-	ask          Ask
+	request      Request
 	workspace    string
 	kind         string
-	askedAt      time.Duration
+	submittedAt  time.Duration
 	target       string // on which it runs
 	sentAt       time.Duration
 	firstEventAt time.Duration
@@ -83,7 +83,7 @@
 	e := &routing.Engine{Slots: slots, CacheTokens: cacheTokens, EventTokens: 5}
 	s.view = View{
 		Services:        map[string]*routing.Service{"m": {Name: "m", ColdPerSecond: 10, Engine: e}},
-		TokensPerSecond: tokensPerSecond, Out: map[string]bool{},
+		TokensPerSecond: tokensPerSecond, OutOfService: map[string]bool{},
 	}
 	for i := range engines {
 		id := fmt.Sprintf("e%02d", i)
@@ -118,7 +118,7 @@
 	for _, d := range s.owner.Decisions() {
 		c := s.calls[d.Key]
 		if throttle := s.throttles[d.Key.Entry]; throttle != nil {
-			throttle.Tell(c.workspace, d.Pass, s.now)
+			throttle.SetShare(c.workspace, d.ForwardShare, s.now)
 		}
 		if d.Target == "" {
 			s.endRefused(d.Key, d.Code, d.RetryAfter)
@@ -131,19 +131,19 @@
 
 // ask passes a request through its entry instance, which throttles it, sheds it or forwards it
 // to the owner.
-func (s *sim) ask(k Key, a Ask) {
+func (s *sim) ask(k Key, req Request) {
 	throttle := s.throttles[k.Entry]
-	if throttle == nil || !throttle.Holds(a.Workspace, uniquePart(a.Prompt), s.now) {
-		if s.rng.Float64() < s.shedShare[a.Workspace] {
-			s.owner.TurnedAway(a.Workspace, a.PromptTokens+2*a.OutputTokens, s.now)
+	if throttle == nil || !throttle.Refuses(req.Workspace, uniquePart(req.Prompt), s.now) {
+		if s.rng.Float64() < s.shedShare[req.Workspace] {
+			s.owner.CountShed(req.Workspace, req.PromptTokens+2*req.OutputTokens, s.now)
 			s.endRefused(k, "busy", 50*time.Millisecond)
 			return
 		}
-		s.owner.Ask(k, a, s.now)
+		s.owner.Submit(k, req, s.now)
 		return
 	}
-	s.owner.Refused(a.Workspace, a.PromptTokens+2*a.OutputTokens, uniquePart(a.Prompt), a.Objective, s.now)
-	s.endRefused(k, "throttled", throttle.Advice(a.Workspace))
+	s.owner.CountThrottled(req.Workspace, req.PromptTokens+2*req.OutputTokens, uniquePart(req.Prompt), req.Objective, s.now)
+	s.endRefused(k, "throttled", throttle.RetryAfter(req.Workspace))
 }
 
 // endRefused ends a refused attempt and schedules the caller's retry.
@@ -151,15 +151,15 @@
 	c := s.calls[k]
 	c.refused, c.done = code, true
 	if s.retries && !c.retried {
-		s.retry(k, min(advice, (c.ask.Last-(s.now-c.askedAt))/3))
+		s.retry(k, min(advice, (c.request.Deadline-(s.now-c.submittedAt))/3))
 	}
 }
 
 // enableThrottling lets the entry instances throttle overloaded workspaces.
 func (s *sim) enableThrottling() {
-	s.throttles = map[string]*Flood{}
+	s.throttles = map[string]*Throttle{}
 	for i := range numEntries {
-		s.throttles[fmt.Sprint("n", i)] = NewFlood()
+		s.throttles[fmt.Sprint("n", i)] = NewThrottle()
 	}
 }
 
@@ -170,13 +170,13 @@
 	s.after(wait, func() {
 		s.number++
 		next := Key{Entry: k.Entry, Number: s.number}
-		a := previous.ask
-		a.Last -= s.now - previous.askedAt
+		req := previous.request
+		req.Deadline -= s.now - previous.submittedAt
 		c := *previous
 		c.retried, c.refused, c.done = true, "", false
 		delete(s.calls, k)
 		s.calls[next] = &c
-		s.ask(next, a)
+		s.ask(next, req)
 	})
 }
 
@@ -193,18 +193,18 @@
 		return
 	}
 	e.running++
-	c.prefilled = e.cache.uncachedTokens(c.ask.Prompt)
-	e.cache.pin(c.ask.Prompt, 0)
+	c.prefilled = e.cache.uncachedTokens(c.request.Prompt)
+	e.cache.pin(c.request.Prompt, 0)
 	step := 4 + 0.09*float64(e.running)
 	prefill := time.Duration((float64(c.prefilled)/e.speed + step) * float64(time.Millisecond))
 	e.busyUntil = max(e.busyUntil, s.now) + prefill
 	s.after(e.busyUntil-s.now, func() {
 		c.firstEventAt = s.now
-		s.after(s.messageDelay, func() { s.owner.Began(k, s.now) })
-		generation := time.Duration(float64(c.ask.OutputTokens) * (step + s.tokenPauseMs) * float64(time.Millisecond))
+		s.after(s.messageDelay, func() { s.owner.RecordFirstEvent(k, s.now) })
+		generation := time.Duration(float64(c.request.OutputTokens) * (step + s.tokenPauseMs) * float64(time.Millisecond))
 		s.after(generation, func() {
 			e.running--
-			e.cache.unpin(c.ask.Prompt, 0)
+			e.cache.unpin(c.request.Prompt, 0)
 			c.done = true
 			s.after(s.messageDelay, func() { s.owner.End(k, api.WorkServed, s.now) })
 		})
@@ -238,14 +238,14 @@
 		k := Key{Entry: fmt.Sprint("n", s.number%numEntries), Number: s.number}
 		uniqueTokens := max(10, int(float64(load.uniqueTokens)*s.rng.ExpFloat64()))
 		part := s.rng.IntN(max(1, load.sharedParts))
-		a := Ask{
+		req := Request{
 			Service: "m", Workspace: load.workspace, DataCentre: fmt.Sprint("z", s.number%4), PromptTokens: uniqueTokens + load.sharedTokens, OutputTokens: load.output,
 			Prompt:    []Part{{ID: hashPart(load.kind, part), Tokens: load.sharedTokens}, {ID: hashPart("own", int(s.number)), Tokens: uniqueTokens}},
-			Objective: load.objective, Last: load.last, Allowed: load.objective,
+			Objective: load.objective, Deadline: load.last, RouteObjective: load.objective,
 		}
 		heap.Push(&s.events, event{at + s.messageDelay, func() {
-			s.calls[k] = &call{ask: a, workspace: load.workspace, kind: load.kind, askedAt: s.now}
-			s.ask(k, a)
+			s.calls[k] = &call{request: req, workspace: load.workspace, kind: load.kind, submittedAt: s.now}
+			s.ask(k, req)
 		}})
 	}
 }
@@ -269,11 +269,11 @@
 
 func (s *sim) summarize(from, to time.Duration, match func(*call) bool) (o outcome) {
 	for _, c := range s.calls {
-		if c.askedAt < from || c.askedAt >= to || !match(c) {
+		if c.submittedAt < from || c.submittedAt >= to || !match(c) {
 			continue
 		}
 		o.asked++
-		cost := float64(c.ask.PromptTokens) + 2*float64(c.ask.OutputTokens)
+		cost := float64(c.request.PromptTokens) + 2*float64(c.request.OutputTokens)
 		o.tokensAsked += cost
 		switch {
 		case c.refused != "":
@@ -282,7 +282,7 @@
 			o.started++
 			o.tokensStarted += cost
 			o.prefilled += c.prefilled
-			if c.firstEventAt-c.askedAt <= c.ask.Objective {
+			if c.firstEventAt-c.submittedAt <= c.request.Objective {
 				o.onTime++
 			}
 		}
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -27,9 +27,9 @@
 // work is one request of an entry instance, queued at the owner or running on a target.
 type work struct {
 	key         Key
-	ask         Ask
+	request     Request
 	cost        float64       // in tokens of the share: prompt tokens plus twice the output tokens
-	askedAt     time.Duration // on the owner's clock, like all times here
+	submittedAt time.Duration // on the owner's clock, like all times here
 	objectiveAt time.Duration // when the first event is due
 	deadline    time.Duration // when the response is of no use any more
 	// effectiveObjectiveAt is objectiveAt, or later for a prompt whose prefill alone takes longer.
@@ -51,10 +51,10 @@
 	overtaken     bool // a request sent to the target later got its first event earlier
 }
 
-func newWork(k Key, a Ask, now time.Duration) *work {
+func newWork(k Key, req Request, now time.Duration) *work {
 	return &work{
-		key: k, ask: a, askedAt: now, objectiveAt: now + a.Objective, deadline: now + a.Last,
-		cost: float64(a.PromptTokens) + 2*float64(a.OutputTokens),
+		key: k, request: req, submittedAt: now, objectiveAt: now + req.Objective, deadline: now + req.Deadline,
+		cost: float64(req.PromptTokens) + 2*float64(req.OutputTokens),
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func (w *work) rank() rank {
 	switch {
-	case w.ask.Resumes:
+	case w.request.Resumes:
 		return rankResumed
 	case w.excess > 0:
 		return rankOverShare
@@ -199,7 +199,7 @@
 // canStart reports whether the target can accept a request now: by its backlog, slots, memory
 // and start limit.
 func (t *target) canStart(w *work, startLimit float64, now time.Duration) bool {
-	return t.backlog(now) <= maxTargetBacklog && t.hasCapacity(w, t.cache.uncachedTokens(w.ask.Prompt)) && t.startWait(startLimit, 0, now) == 0
+	return t.backlog(now) <= maxTargetBacklog && t.hasCapacity(w, t.cache.uncachedTokens(w.request.Prompt)) && t.startWait(startLimit, 0, now) == 0
 }
 
 // hasCapacity reports whether the target has a slot and memory for a request with a number of
@@ -210,7 +210,7 @@
 	}
 	capacity := t.engine.CacheTokens
 	return capacity == 0 || len(t.running) == 0 ||
-		t.cache.pinnedTokens+t.outputTokens+uncached+w.ask.OutputTokens <= capacity
+		t.cache.pinnedTokens+t.outputTokens+uncached+w.request.OutputTokens <= capacity
 }
 
 func (t *target) slots() int {
@@ -265,12 +265,12 @@
 // instance placed it, was sent earlier.
 func (t *target) start(w *work, sentAt time.Duration) {
 	w.target, w.sentAt = t, sentAt
-	w.uncached = t.cache.uncachedTokens(w.ask.Prompt)
+	w.uncached = t.cache.uncachedTokens(w.request.Prompt)
 	t.invalidateBacklog()
 	t.running[w.key] = w
 	t.prefillQueue = append(t.prefillQueue, w)
-	t.outputTokens += w.ask.OutputTokens
-	t.cache.pin(w.ask.Prompt, t.outputTokens)
+	t.outputTokens += w.request.OutputTokens
+	t.cache.pin(w.request.Prompt, t.outputTokens)
 	// A new owner receives reports of earlier starts. Recorded as starts of now, they would
 	// block the target for a second.
 	i, _ := slices.BinarySearch(t.recentStarts, sentAt)
@@ -323,6 +323,6 @@
 	}
 	delete(t.running, w.key)
 	t.removeFromPrefill(w, false)
-	t.outputTokens -= w.ask.OutputTokens
-	t.cache.unpin(w.ask.Prompt, t.outputTokens)
+	t.outputTokens -= w.request.OutputTokens
+	t.cache.unpin(w.request.Prompt, t.outputTokens)
 }
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -33,11 +33,11 @@
 	return min(1, max(minForwardShare, forwardSlack*max(u.grantedSum, s.fairShare, s.maxGranted)/u.requestedSum))
 }
 
-// Flood throttles overloaded workspaces at an entry instance: it refuses part of their
+// Throttle throttles overloaded workspaces at an entry instance: it refuses part of their
 // requests on the owner's behalf and lets the share pass that the owner has set. It bounds
 // the load of one workspace that sends many times its share through one instance. It is not
 // safe for concurrent use.
-type Flood struct {
+type Throttle struct {
 	byWorkspace map[string]forwardLimit
 }
 
@@ -46,29 +46,29 @@
 	expiresAt time.Duration
 }
 
-// NewFlood returns a Flood that throttles no workspace.
-func NewFlood() *Flood { return &Flood{byWorkspace: map[string]forwardLimit{}} }
+// NewThrottle returns a Throttle that throttles no workspace.
+func NewThrottle() *Throttle { return &Throttle{byWorkspace: map[string]forwardLimit{}} }
 
-// Tell sets the share of a workspace's requests that pass, from 0 to 1; 1 ends the
+// SetShare sets the share of a workspace's requests that pass, from 0 to 1; 1 ends the
 // throttling. The setting expires after forwardShareTTL.
-func (f *Flood) Tell(workspace string, share float64, now time.Duration) {
+func (th *Throttle) SetShare(workspace string, share float64, now time.Duration) {
 	if share >= 1 {
-		delete(f.byWorkspace, workspace)
+		delete(th.byWorkspace, workspace)
 		return
 	}
-	f.byWorkspace[workspace] = forwardLimit{share: share, expiresAt: now + forwardShareTTL}
+	th.byWorkspace[workspace] = forwardLimit{share: share, expiresAt: now + forwardShareTTL}
 }
 
-// Holds reports whether a request is throttled, that is, refused by the entry instance. It
+// Refuses reports whether a request is throttled, that is, refused by the entry instance. It
 // depends on a hash of uniquePart, the part that only this request has, and not on chance: a
 // retry through another instance with the same share gets the same result.
-func (f *Flood) Holds(workspace string, uniquePart PartID, now time.Duration) bool {
-	limit, ok := f.byWorkspace[workspace]
+func (th *Throttle) Refuses(workspace string, uniquePart PartID, now time.Duration) bool {
+	limit, ok := th.byWorkspace[workspace]
 	if !ok {
 		return false
 	}
 	if limit.expiresAt <= now {
-		delete(f.byWorkspace, workspace)
+		delete(th.byWorkspace, workspace)
 		return false
 	}
 	return float64(mix(uint64(uniquePart), hashName(workspace)))/math.MaxUint64 >= limit.share
@@ -76,14 +76,14 @@
 
 // Share returns the share of a workspace's requests that pass, 1 if it is not throttled. It
 // does not check whether the setting has expired.
-func (f *Flood) Share(workspace string) float64 {
-	if limit, ok := f.byWorkspace[workspace]; ok {
+func (th *Throttle) Share(workspace string) float64 {
+	if limit, ok := th.byWorkspace[workspace]; ok {
 		return limit.share
 	}
 	return 1
 }
 
-// Advice returns the Retry-After for throttled callers of a workspace.
-func (f *Flood) Advice(workspace string) time.Duration {
-	return min(maxThrottleRetryAfter, time.Duration(float64(throttleRetryAfter)/f.Share(workspace)))
+// RetryAfter returns the Retry-After for throttled callers of a workspace.
+func (th *Throttle) RetryAfter(workspace string) time.Duration {
+	return min(maxThrottleRetryAfter, time.Duration(float64(throttleRetryAfter)/th.Share(workspace)))
 }
--- a/internal/placement/unit_test.go
+++ b/internal/placement/unit_test.go
@@ -77,7 +77,7 @@
 		{ID: "cold", Service: "s", DataCentre: "z1", ColdUntil: 10 * second}, {ID: "other", Service: "x", DataCentre: "z1"},
 		{ID: "near", Service: "s", DataCentre: "z1"}, {ID: "far", Service: "s", DataCentre: "z3"},
 	}
-	q := Query{Service: "s", Targets: targets, Out: map[string]bool{"z2": true}}
+	q := Query{Service: "s", Targets: targets, OutOfService: map[string]bool{"z2": true}}
 	choose := func() string {
 		got, ok := l.Choose(q)
 		is.True(ok)
@@ -98,12 +98,12 @@
 	q.Now = 0
 	_, ok := l.Choose(q)
 	is.True(!ok)
-	q.Targets, q.MostRunning = targets, 1
+	q.Targets, q.MaxRunning = targets, 1
 	_, ok = l.Choose(q)
 	is.True(ok) // near has ended its only request
 	l.Start(targets[4])
 	_, ok = l.Choose(q)
-	is.True(!ok) // near and far have reached MostRunning
+	is.True(!ok) // near and far have reached MaxRunning
 }
 
 // Guards against entry instances that prefill the same shared part on different targets while
@@ -116,8 +116,8 @@
 	}
 	used := map[string]int{}
 	for part := PartID(1); part <= 200; part++ {
-		x, _ := NewLocal("a").Choose(Query{Service: "s", Targets: targets, Home: part, Random: 0.1})
-		y, _ := NewLocal("d").Choose(Query{Service: "s", Targets: targets, Home: part, Random: 0.9})
+		x, _ := NewLocal("a").Choose(Query{Service: "s", Targets: targets, AffinityPart: part, Random: 0.1})
+		y, _ := NewLocal("d").Choose(Query{Service: "s", Targets: targets, AffinityPart: part, Random: 0.9})
 		is.Equal(x.ID, y.ID)
 		used[x.ID]++
 	}
@@ -131,33 +131,33 @@
 // has ended, and a caller who is throttled at one instance but not at the next one.
 func TestThrottle(t *testing.T) {
 	is := is.New(t)
-	f, g := NewFlood(), NewFlood()
+	th, other := NewThrottle(), NewThrottle()
 	at := 1000 * second
-	throttled := func(f *Flood, at time.Duration) (n int) {
+	throttled := func(th *Throttle, at time.Duration) (n int) {
 		for own := range PartID(1000) {
-			if f.Holds("w", own+1, at) {
+			if th.Refuses("w", own+1, at) {
 				n++
 			}
 		}
 		return n
 	}
-	is.Equal(throttled(f, at), 0)
-	f.Tell("w", 0.2, at)
-	g.Tell("w", 0.3, at)
-	is.True(throttled(f, at) >= 750 && throttled(f, at) <= 850)
+	is.Equal(throttled(th, at), 0)
+	th.SetShare("w", 0.2, at)
+	other.SetShare("w", 0.3, at)
+	is.True(throttled(th, at) >= 750 && throttled(th, at) <= 850)
 	for own := range PartID(1000) {
-		is.True(f.Holds("w", own, at) || !g.Holds("w", own, at)) // what passes the lower share passes the higher one
+		is.True(th.Refuses("w", own, at) || !other.Refuses("w", own, at)) // what passes the lower share passes the higher one
 	}
-	is.True(!f.Holds("other", 1, at))
-	is.Equal(f.Advice("w"), 2500*time.Millisecond)
-	is.Equal(f.Advice("other"), throttleRetryAfter)
-	f.Tell("w", 0.01, at)
-	is.Equal(f.Advice("w"), maxThrottleRetryAfter)
-	is.Equal(throttled(f, at+forwardShareTTL), 0)
-	f.Tell("w", 0.5, at)
-	f.Tell("w", 1, at)
-	is.Equal(throttled(f, at), 0)
-	is.Equal(len(f.byWorkspace), 0)
+	is.True(!th.Refuses("other", 1, at))
+	is.Equal(th.RetryAfter("w"), 2500*time.Millisecond)
+	is.Equal(th.RetryAfter("other"), throttleRetryAfter)
+	th.SetShare("w", 0.01, at)
+	is.Equal(th.RetryAfter("w"), maxThrottleRetryAfter)
+	is.Equal(throttled(th, at+forwardShareTTL), 0)
+	th.SetShare("w", 0.5, at)
+	th.SetShare("w", 1, at)
+	is.Equal(throttled(th, at), 0)
+	is.Equal(len(th.byWorkspace), 0)
 }
 
 // Guards against entry instances that throttle what the owner would grant, or forward an
@@ -212,11 +212,11 @@
 func TestDecisionReportsWait(t *testing.T) {
 	is := is.New(t)
 	s := newSim(8, 1, 1, 100_000, 100_000)
-	a := Ask{Service: "m", Workspace: "w", PromptTokens: 100, OutputTokens: 10, Objective: 5 * second, Last: 20 * second,
-		Allowed: 5 * second, Prompt: []Part{{ID: 1, Tokens: 50}, {ID: 2, Tokens: 50}}}
-	s.owner.Ask(Key{"n", 1}, a, 0)
-	s.owner.Ask(Key{"n", 2}, a, 0)
-	is.Equal(s.owner.Decisions()[0].Wait, time.Duration(0))
+	req := Request{Service: "m", Workspace: "w", PromptTokens: 100, OutputTokens: 10, Objective: 5 * second, Deadline: 20 * second,
+		RouteObjective: 5 * second, Prompt: []Part{{ID: 1, Tokens: 50}, {ID: 2, Tokens: 50}}}
+	s.owner.Submit(Key{"n", 1}, req, 0)
+	s.owner.Submit(Key{"n", 2}, req, 0)
+	is.Equal(s.owner.Decisions()[0].QueueDelay, time.Duration(0))
 	s.owner.End(Key{"n", 1}, api.WorkServed, 300*time.Millisecond)
-	is.Equal(s.owner.Decisions()[0].Wait, 300*time.Millisecond)
+	is.Equal(s.owner.Decisions()[0].QueueDelay, 300*time.Millisecond)
 }
--- a/internal/placewire/messages.go
+++ b/internal/placewire/messages.go
@@ -158,16 +158,16 @@
 }
 
 // Ask converts the message to the owner's type for an entry instance in a data centre.
-func (a *Ask) Ask(dataCentre string) placement.Ask {
+func (a *Ask) Ask(dataCentre string) placement.Request {
 	prompt := make([]placement.Part, len(a.Prompt))
 	for i, p := range a.Prompt {
 		prompt[i] = placement.Part{ID: placement.PartID(p[0]), Tokens: int(p[1])}
 	}
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-	return placement.Ask{
+	return placement.Request{
 		Service: a.Service, Workspace: a.Workspace, DataCentre: dataCentre,
 		PromptTokens: a.Tokens[0], OutputTokens: a.Tokens[1], Prompt: prompt,
-		Objective: ms(a.Ms[0]), Last: ms(a.Ms[1]), Allowed: ms(a.Ms[2]), Tried: a.Tried, Resumes: a.Resumes,
+		Objective: ms(a.Ms[0]), Deadline: ms(a.Ms[1]), RouteObjective: ms(a.Ms[2]), Tried: a.Tried, Resumes: a.Resumes,
 	}
 }
 
@@ -175,7 +175,7 @@
 func NewGrant(d placement.Decision) Grant {
 	return Grant{
 		Number: d.Key.Number, Target: d.Target, Code: d.Code, RetryMs: d.RetryAfter.Milliseconds(),
-		WaitMs: d.Wait.Milliseconds(), Excess: float64(int(d.Excess*100)) / 100, Missing: d.Missing, HeldBack: int((1 - d.Pass) * 1000),
-		Least: d.Least, LeastWaitMs: d.LeastWait.Milliseconds(),
+		WaitMs: d.QueueDelay.Milliseconds(), Excess: float64(int(d.Excess*100)) / 100, Missing: d.UncachedTokens, HeldBack: int((1 - d.ForwardShare) * 1000),
+		Least: d.MinUncachedTokens, LeastWaitMs: d.MinUncachedWait.Milliseconds(),
 	}
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -64,17 +64,17 @@
 	}
 }
 
-// Request counts a request for a service. Retries are counted by Repeat instead.
-func (b *Budget) Request(service string, now time.Duration) {
+// CountRequest counts a request for a service. Retries are counted by AllowRetry instead.
+func (b *Budget) CountRequest(service string, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(service, now)
 	w.requests[w.newestSlot%slotsPerWindow]++
 }
 
-// Repeat reports whether the budget of a service allows a retry now, and counts the
+// AllowRetry reports whether the budget of a service allows a retry now, and counts the
 // retry if so.
-func (b *Budget) Repeat(service string, now time.Duration) bool {
+func (b *Budget) AllowRetry(service string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(service, now)
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -25,9 +25,9 @@
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "gap")) * time.Millisecond
 			b := all[rapid.IntRange(0, n-1).Draw(t, "instance")]
 			if rapid.Bool().Draw(t, "request") {
-				b.Request("s", now)
+				b.CountRequest("s", now)
 				requests = append(requests, now)
-			} else if b.Repeat("s", now) {
+			} else if b.AllowRetry("s", now) {
 				retries = append(retries, now)
 			}
 		}
@@ -54,15 +54,15 @@
 	is := is.New(t)
 	b := New(Config{Ratio: 0.5, Window: 10 * time.Second})
 	for range 10 {
-		b.Request("s", 0)
+		b.CountRequest("s", 0)
 	}
 	for range 4 {
-		is.True(b.Repeat("s", time.Second))
+		is.True(b.AllowRetry("s", time.Second))
 	}
-	is.True(!b.Repeat("s", time.Second))
+	is.True(!b.AllowRetry("s", time.Second))
 	for range 10 {
-		b.Request("s", 12*time.Second)
+		b.CountRequest("s", 12*time.Second)
 	}
-	is.True(b.Repeat("s", 12*time.Second))
-	is.True(!b.Repeat("other", 12*time.Second))
+	is.True(b.AllowRetry("s", 12*time.Second))
+	is.True(!b.AllowRetry("other", 12*time.Second))
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -45,7 +45,7 @@
 	GapObjective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	Split    []Share // services of the route, by weight
+	Split    []WeightedService // services of the route, by weight
 	// MaxAttempts is the largest number of attempts for one request.
 	MaxAttempts int
 	// Public routes need no API key.
@@ -56,14 +56,14 @@
 	Resumable bool
 }
 
-// Repeatable reports whether a request may be retried although a target may have run
+// Retryable reports whether a request may be retried although a target may have run
 // it.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Share is the weight of one service among the services of a route.
-type Share struct {
+// WeightedService is the weight of one service among the services of a route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -75,8 +75,8 @@
 	// MaxConnections is the number of connections that one target accepts from all
 	// instances together; 0 = unknown.
 	MaxConnections int
-	// ColdFor is how long a target stays cold after its start.
-	ColdFor time.Duration
+	// ColdDuration is how long a target stays cold after its start.
+	ColdDuration time.Duration
 	// ColdPerSecond is the number of requests a second that a cold target can serve;
 	// 0 = no limit.
 	ColdPerSecond float64
@@ -93,13 +93,13 @@
 	CacheTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// Moves reports whether a running request can move to another target.
-	Moves bool
-	// Backups reports whether the memory of a running request can be copied while it
+	// CanMove reports whether a running request can move to another target.
+	CanMove bool
+	// CanBackUp reports whether the memory of a running request can be copied while it
 	// grows.
-	Backups bool
-	// HandleLife is how long the copy of a running request's memory is kept.
-	HandleLife time.Duration
+	CanBackUp bool
+	// BackupTTL is how long the copy of a running request's memory is kept.
+	BackupTTL time.Duration
 }
 
 // CallerLimits limits the size of a caller's request, in bytes, and how long the caller
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -12,10 +12,10 @@
 		Version:  3,
 		Services: map[string]*Service{"a": {Name: "a"}, "b": {Name: "b"}},
 		Routes: []Route{
-			{Name: "root", Host: "x.example", PathPrefix: "/", Kind: Idempotent, Timeout: time.Second, Split: []Share{{"a", 1}}},
-			{Name: "long", Host: "x.example", PathPrefix: "/p/q/", Kind: Streaming, Timeout: time.Second, Split: []Share{{"a", 90}, {"b", 10}}},
-			{Name: "short", Host: "x.example", PathPrefix: "/p/", Kind: NonIdempotent, Timeout: time.Second, Split: []Share{{"b", 1}}},
-			{Name: "other", Host: "y.example", PathPrefix: "/p/", Kind: Idempotent, Timeout: time.Second, Split: []Share{{"b", 1}}},
+			{Name: "root", Host: "x.example", PathPrefix: "/", Kind: Idempotent, Timeout: time.Second, Split: []WeightedService{{"a", 1}}},
+			{Name: "long", Host: "x.example", PathPrefix: "/p/q/", Kind: Streaming, Timeout: time.Second, Split: []WeightedService{{"a", 90}, {"b", 10}}},
+			{Name: "short", Host: "x.example", PathPrefix: "/p/", Kind: NonIdempotent, Timeout: time.Second, Split: []WeightedService{{"b", 1}}},
+			{Name: "other", Host: "y.example", PathPrefix: "/p/", Kind: Idempotent, Timeout: time.Second, Split: []WeightedService{{"b", 1}}},
 		},
 		Workspaces: []Workspace{{Name: "w", Keys: []KeyHash{HashKey("k1"), HashKey("k2")}}, {Name: "v", Keys: []KeyHash{HashKey("k3")}}, {Name: "none"}},
 	}
@@ -54,7 +54,7 @@
 // Guards against services that get requests out of proportion to their weights.
 func TestChoose(t *testing.T) {
 	is := is.New(t)
-	r := Route{Split: []Share{{"a", 0}, {"b", 3}, {"c", 1}}}
+	r := Route{Split: []WeightedService{{"a", 0}, {"b", 3}, {"c", 1}}}
 	count := map[string]int{}
 	for i := range 400 {
 		count[r.Choose(float64(i)/400)]++
--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -21,17 +21,17 @@
 	var cs []limits.Config
 	for i := range targets {
 		cs = append(cs, limits.Config{Name: fmt.Sprint("t", i), DataCentre: fmt.Sprint("dc", i%23), WarmCapacity: 8, ColdCapacity: 8,
-			EvidenceLife: time.Hour, ReportLag: time.Second, RequestLimit: time.Hour})
+			WarmthTTL: time.Hour, ReportLag: time.Second, RequestLimit: time.Hour})
 	}
-	o.Limits().Configure(cs, 0)
-	o.Report("r", &ReportMsg{Head: Head{Epoch: 1, Inc: 1, Gen: 1}}, 0)
+	o.Targets().Configure(cs, 0)
+	o.Report("r", &ReportMsg{Header: Header{Epoch: 1, Incarnation: 1, Generation: 1}}, 0)
 	for i := range targets {
-		o.Limits().Silent(fmt.Sprint("t", i), 0)
+		o.Targets().PollFailed(fmt.Sprint("t", i), 0)
 	}
 	p := o.peers["r"]
 	for i := range workspaces {
 		for k := range 4 {
-			o.addWaiting(p, &Add{N: uint64(4*i + k + 1), Workspace: fmt.Sprint(i), Class: api.ClassQuick}, 0)
+			o.addWaiting(p, &Announcement{Number: uint64(4*i + k + 1), Workspace: fmt.Sprint(i), Class: api.ClassQuick}, 0)
 		}
 	}
 	return o, p
@@ -46,16 +46,16 @@
 			b.Run(fmt.Sprintf("workspaces=%d/targets=%d", workspaces, targets), func(b *testing.B) {
 				o, p := newBenchOwner(workspaces, targets)
 				var last Grant
-				send := func(_ string, m *GrantMsg) bool { last = m.List[len(m.List)-1]; return true }
+				send := func(_ string, m *GrantMsg) bool { last = m.Grants[len(m.Grants)-1]; return true }
 				cycle := func(i int) {
 					if !o.decide(time.Duration(i)) {
 						b.Fatal("no request was granted")
 					}
 					o.Flush(send)
-					ws := p.requests[last.N].queue.account.Name
-					d := Done{last.N, api.Outcome{Result: api.ResultOK, Cost: float64(50 + i%100), Warmth: api.WarmthWarm}}
+					ws := p.requests[last.Number].queue.account.Name
+					d := Completion{last.Number, api.Outcome{Result: api.ResultOK, Cost: float64(50 + i%100), Warmth: api.WarmthWarm}}
 					o.applyOutcome(p, &d, time.Duration(i))
-					a := Add{N: last.N, Workspace: ws, Class: api.ClassQuick}
+					a := Announcement{Number: last.Number, Workspace: ws, Class: api.ClassQuick}
 					o.addWaiting(p, &a, time.Duration(i))
 				}
 				for i := range 4 * targets {
@@ -74,13 +74,13 @@
 func TestDecisionDoesNotAllocate(t *testing.T) {
 	o, p := newBenchOwner(430, 1200)
 	var last Grant
-	send := func(_ string, m *GrantMsg) bool { last = m.List[0]; return true }
-	a := Add{Class: api.ClassQuick}
+	send := func(_ string, m *GrantMsg) bool { last = m.Grants[0]; return true }
+	a := Announcement{Class: api.ClassQuick}
 	cycle := func() {
 		o.decide(0)
 		o.Flush(send)
-		a.N, a.Workspace = last.N, p.requests[last.N].queue.account.Name
-		d := Done{last.N, api.Outcome{Result: api.ResultOK, Cost: 70}}
+		a.Number, a.Workspace = last.Number, p.requests[last.Number].queue.account.Name
+		d := Completion{last.Number, api.Outcome{Result: api.ResultOK, Cost: 70}}
 		o.applyOutcome(p, &d, 0)
 		o.addWaiting(p, &a, 0)
 	}
--- a/internal/schedule/decode.go
+++ b/internal/schedule/decode.go
@@ -225,18 +225,18 @@
 	return r.err
 }
 
-func (r *reader) header(h *Head) {
+func (r *reader) header(h *Header) {
 	h.Pool = r.string()
 	h.Epoch = r.uint()
-	h.Inc = r.uint()
-	h.Gen = r.uint()
+	h.Incarnation = r.uint()
+	h.Generation = r.uint()
 	h.Seq = r.uint()
 	h.Clock = r.uint()
-	h.Got = r.uint()
+	h.GrantsReceived = r.uint()
 }
 
-func readAdd(r *reader, a *Add) {
-	a.N = r.uint()
+func readAnnouncement(r *reader, a *Announcement) {
+	a.Number = r.uint()
 	a.Workspace = r.string()
 	a.Class = enum(r, classes)
 	a.Hint = r.float(false)
@@ -244,13 +244,13 @@
 }
 
 func readConfirm(r *reader, c *Confirm) {
-	c.N = r.uint()
+	c.Number = r.uint()
 	c.Warmth = enum(r, warmths)
 	c.Boot = r.uint()
 }
 
-func readDone(r *reader, d *Done) {
-	d.N = r.uint()
+func readCompletion(r *reader, d *Completion) {
+	d.Number = r.uint()
 	d.Outcome.Result = enum(r, results)
 	d.Outcome.Cost = r.float(false)
 	d.Outcome.Warmth = enum(r, warmths)
@@ -258,7 +258,7 @@
 }
 
 func readRunning(r *reader, x *Running) {
-	x.N = r.uint()
+	x.Number = r.uint()
 	x.Workspace = r.string()
 	x.Target = r.string()
 	x.Class = enum(r, classes)
@@ -268,7 +268,7 @@
 }
 
 func readGrant(r *reader, g *Grant) {
-	g.N = r.uint()
+	g.Number = r.uint()
 	if r.next() {
 		if r.peek() == '"' {
 			g.Target = r.stringValue()
@@ -286,42 +286,42 @@
 
 func readRow(r *reader, x *fairness.Row) {
 	x.Workspace = r.string()
-	x.Ahead = r.float(true)
-	for i := range x.Learned {
-		x.Learned[i] = r.float(false)
+	x.RelativeService = r.float(true)
+	for i := range x.MeanCosts {
+		x.MeanCosts[i] = r.float(false)
 	}
 }
 
-func (r *reader) serviceTable(m *ServiceMsg) {
+func (r *reader) serviceTable(m *ServiceTableMsg) {
 	m.Pool = r.string()
 	m.Epoch = r.uint()
 	m.Seq = r.uint()
-	m.Virtual = r.float(true)
+	m.VirtualTime = r.float(true)
 	m.Rows = readList(r, readRow)
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (m *DemandMsg) UnmarshalJSON(b []byte) error {
 	return decodeMessage(b, func(r *reader) {
-		r.header(&m.Head)
-		m.Added = readList(r, readAdd)
+		r.header(&m.Header)
+		m.Added = readList(r, readAnnouncement)
 		m.Cancelled = r.numbers()
 		m.Confirmed = readList(r, readConfirm)
-		m.Done = readList(r, readDone)
+		m.Done = readList(r, readCompletion)
 	})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (m *ReportMsg) UnmarshalJSON(b []byte) error {
 	return decodeMessage(b, func(r *reader) {
-		r.header(&m.Head)
-		m.Waiting = readList(r, readAdd)
+		r.header(&m.Header)
+		m.Waiting = readList(r, readAnnouncement)
 		m.Running = readList(r, readRunning)
-		m.Done = readList(r, readDone)
+		m.Done = readList(r, readCompletion)
 		if r.next() {
 			r.array(func() { r.serviceTable(&m.Table) })
 		}
-		m.Since = readList(r, readUsage)
+		m.ServiceSinceTable = readList(r, readUsage)
 	})
 }
 
@@ -329,18 +329,18 @@
 func (m *GrantMsg) UnmarshalJSON(b []byte) error {
 	return decodeMessage(b, func(r *reader) {
 		m.Epoch = r.uint()
-		m.Inc = r.uint()
-		m.Gen = r.uint()
+		m.Incarnation = r.uint()
+		m.Generation = r.uint()
 		m.Clock = r.uint()
-		m.First = r.uint()
-		m.List = readList(r, readGrant)
+		m.GrantsBefore = r.uint()
+		m.Grants = readList(r, readGrant)
 		m.Ack = r.uint()
-		m.Want = enum(r, []bool{false, true})
+		m.WantReport = enum(r, []bool{false, true})
 		m.Pool = r.string()
 	})
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (m *ServiceMsg) UnmarshalJSON(b []byte) error {
+func (m *ServiceTableMsg) UnmarshalJSON(b []byte) error {
 	return decodeMessage(b, func(r *reader) { r.serviceTable(m) })
 }
--- a/internal/schedule/doc.go
+++ b/internal/schedule/doc.go
@@ -3,7 +3,7 @@
 // queue requests for it.
 //
 // Owner turns the announced requests and the limits of the targets into grants;
-// Router keeps the waiting and running requests of one instance. Both are pure
+// EntryQueues keeps the waiting and running requests of one instance. Both are pure
 // state machines: time and messages are arguments, messages are results. Time
 // must not go back. Messages may be lost, duplicated, delayed and reordered.
 //
--- a/internal/schedule/encode.go
+++ b/internal/schedule/encode.go
@@ -166,18 +166,18 @@
 	virtualDigits  = 10 // the pool's virtual time, which only grows
 )
 
-func (w *writer) header(h *Head) {
+func (w *writer) header(h *Header) {
 	w.string(h.Pool)
 	w.uint(h.Epoch)
-	w.uint(h.Inc)
-	w.uint(h.Gen)
+	w.uint(h.Incarnation)
+	w.uint(h.Generation)
 	w.uint(h.Seq)
 	w.uint(h.Clock)
-	w.uint(h.Got)
+	w.uint(h.GrantsReceived)
 }
 
-func writeAdd(w *writer, a *Add) {
-	w.uint(a.N)
+func writeAnnouncement(w *writer, a *Announcement) {
+	w.uint(a.Number)
 	w.string(a.Workspace)
 	w.uint(indexOf(classes, a.Class))
 	w.float(a.Hint, estimateDigits)
@@ -185,13 +185,13 @@
 }
 
 func writeConfirm(w *writer, c *Confirm) {
-	w.uint(c.N)
+	w.uint(c.Number)
 	w.uint(indexOf(warmths, c.Warmth))
 	w.uint(c.Boot)
 }
 
-func writeDone(w *writer, d *Done) {
-	w.uint(d.N)
+func writeCompletion(w *writer, d *Completion) {
+	w.uint(d.Number)
 	w.uint(indexOf(results, d.Outcome.Result))
 	w.float(d.Outcome.Cost, costDigits)
 	w.uint(indexOf(warmths, d.Outcome.Warmth))
@@ -199,7 +199,7 @@
 }
 
 func writeRunning(w *writer, r *Running) {
-	w.uint(r.N)
+	w.uint(r.Number)
 	w.string(r.Workspace)
 	w.string(r.Target)
 	w.uint(indexOf(classes, r.Class))
@@ -209,7 +209,7 @@
 }
 
 func writeGrant(w *writer, g *Grant) {
-	w.uint(g.N)
+	w.uint(g.Number)
 	if g.Target != "" {
 		w.string(g.Target)
 	} else {
@@ -225,8 +225,8 @@
 
 func writeRow(w *writer, r *fairness.Row) {
 	w.string(r.Workspace)
-	w.float(r.Ahead, serviceDigits)
-	for _, x := range r.Learned {
+	w.float(r.RelativeService, serviceDigits)
+	for _, x := range r.MeanCosts {
 		w.float(x, estimateDigits)
 	}
 }
@@ -235,11 +235,11 @@
 func (m *DemandMsg) MarshalJSON() ([]byte, error) {
 	w := &writer{buf: make([]byte, 0, 128)}
 	w.open()
-	w.header(&m.Head)
-	writeList(w, m.Added, writeAdd)
+	w.header(&m.Header)
+	writeList(w, m.Added, writeAnnouncement)
 	w.numbers(m.Cancelled)
 	writeList(w, m.Confirmed, writeConfirm)
-	writeList(w, m.Done, writeDone)
+	writeList(w, m.Done, writeCompletion)
 	w.close()
 	return w.buf, nil
 }
@@ -261,14 +261,14 @@
 func (m *ReportMsg) MarshalJSON() ([]byte, error) {
 	w := &writer{buf: make([]byte, 0, 256)}
 	w.open()
-	w.header(&m.Head)
-	writeList(w, m.Waiting, writeAdd)
+	w.header(&m.Header)
+	writeList(w, m.Waiting, writeAnnouncement)
 	writeList(w, m.Running, writeRunning)
-	writeList(w, m.Done, writeDone)
+	writeList(w, m.Done, writeCompletion)
 	w.open()
 	w.serviceTable(&m.Table)
 	w.close()
-	writeList(w, m.Since, writeUsage)
+	writeList(w, m.ServiceSinceTable, writeUsage)
 	w.close()
 	return w.buf, nil
 }
@@ -278,20 +278,20 @@
 	w := &writer{buf: make([]byte, 0, 128)}
 	w.open()
 	w.uint(m.Epoch)
-	w.uint(m.Inc)
-	w.uint(m.Gen)
+	w.uint(m.Incarnation)
+	w.uint(m.Generation)
 	w.uint(m.Clock)
-	w.uint(m.First)
-	writeList(w, m.List, writeGrant)
+	w.uint(m.GrantsBefore)
+	writeList(w, m.Grants, writeGrant)
 	w.uint(m.Ack)
-	w.boolean(m.Want)
+	w.boolean(m.WantReport)
 	w.string(m.Pool)
 	w.close()
 	return w.buf, nil
 }
 
 // MarshalJSON implements json.Marshaler.
-func (m *ServiceMsg) MarshalJSON() ([]byte, error) {
+func (m *ServiceTableMsg) MarshalJSON() ([]byte, error) {
 	w := &writer{buf: make([]byte, 0, 256)}
 	w.open()
 	w.serviceTable(m)
@@ -299,10 +299,10 @@
 	return w.buf, nil
 }
 
-func (w *writer) serviceTable(m *ServiceMsg) {
+func (w *writer) serviceTable(m *ServiceTableMsg) {
 	w.string(m.Pool)
 	w.uint(m.Epoch)
 	w.uint(m.Seq)
-	w.float(m.Virtual, virtualDigits)
+	w.float(m.VirtualTime, virtualDigits)
 	writeList(w, m.Rows, writeRow)
 }
--- a/internal/schedule/entry_queue.go
+++ b/internal/schedule/entry_queue.go
@@ -13,11 +13,11 @@
 )
 
 // entryQueue holds the waiting requests of one workspace on an instance: first
-// those announced to the owner, then those beyond Window.
+// those announced to the owner, then those beyond MaxAnnounced.
 type entryQueue struct {
 	workspace         string
-	announced         itemList
-	unannounced       itemList
+	announced         requestList
+	unannounced       requestList
 	announceAfter     time.Duration // nothing is announced before this time
 	lastGrantAt       time.Duration
 	meanGrantInterval time.Duration // 0 = not known
@@ -45,44 +45,44 @@
 }
 
 // itemList is a doubly linked list of requests.
-type itemList struct {
-	head, tail *Item
+type requestList struct {
+	head, tail *LocalRequest
 	length     int
 }
 
-func (l *itemList) pushBack(it *Item) {
-	it.prev, it.next = l.tail, nil
+func (l *requestList) pushBack(req *LocalRequest) {
+	req.prev, req.next = l.tail, nil
 	if l.tail != nil {
-		l.tail.next = it
+		l.tail.next = req
 	} else {
-		l.head = it
+		l.head = req
 	}
-	l.tail = it
+	l.tail = req
 	l.length++
 }
 
-func (l *itemList) pushFront(it *Item) {
-	it.prev, it.next = nil, l.head
+func (l *requestList) pushFront(req *LocalRequest) {
+	req.prev, req.next = nil, l.head
 	if l.head != nil {
-		l.head.prev = it
+		l.head.prev = req
 	} else {
-		l.tail = it
+		l.tail = req
 	}
-	l.head = it
+	l.head = req
 	l.length++
 }
 
-func (l *itemList) remove(it *Item) {
-	if it.prev != nil {
-		it.prev.next = it.next
+func (l *requestList) remove(req *LocalRequest) {
+	if req.prev != nil {
+		req.prev.next = req.next
 	} else {
-		l.head = it.next
+		l.head = req.next
 	}
-	if it.next != nil {
-		it.next.prev = it.prev
+	if req.next != nil {
+		req.next.prev = req.prev
 	} else {
-		l.tail = it.prev
+		l.tail = req.prev
 	}
-	it.prev, it.next = nil, nil
+	req.prev, req.next = nil, nil
 	l.length--
 }
--- a/internal/schedule/fair_test.go
+++ b/internal/schedule/fair_test.go
@@ -38,7 +38,7 @@
 			if i == 0 {
 				depth = 20
 			}
-			for r.alive && r.router.queueLength(ws) < depth {
+			for r.alive && r.queues.queueLength(ws) < depth {
 				l.request(r, ws)
 			}
 		}
@@ -57,8 +57,8 @@
 	}
 }
 
-func (r *Router) queueLength(ws string) int {
-	if q := r.queues[ws]; q != nil {
+func (e *EntryQueues) queueLength(ws string) int {
+	if q := e.queues[ws]; q != nil {
 		return q.waiting()
 	}
 	return 0
@@ -273,7 +273,7 @@
 		l.every(5*ms, func() {
 			for _, x := range l.targets {
 				busy, totalSlots = busy+len(x.jobs), totalSlots+x.warmCapacity
-				if lastCompliantAt[x.name] == 0 || len(x.jobs) == x.warmCapacity || l.owner.Limits().Target(x.name).Limit() < x.warmCapacity || l.owner.Waiting() == 0 {
+				if lastCompliantAt[x.name] == 0 || len(x.jobs) == x.warmCapacity || l.owner.Targets().Target(x.name).Limit() < x.warmCapacity || l.owner.Waiting() == 0 {
 					lastCompliantAt[x.name] = l.now
 				}
 				if l.now-lastCompliantAt[x.name] > 100*ms {
--- a/internal/schedule/fault_test.go
+++ b/internal/schedule/fault_test.go
@@ -23,14 +23,14 @@
 	l.networkFaults = false
 	l.run(120 * time.Second)
 	for _, r := range l.instances {
-		if r.alive && r.router.Queued()+r.router.Running() > 0 {
-			t.Errorf("seed %d: instance %s still has %d waiting and %d running", seed, r.name, r.router.Queued(), r.router.Running())
+		if r.alive && r.queues.Queued()+r.queues.Running() > 0 {
+			t.Errorf("seed %d: instance %s still has %d waiting and %d running", seed, r.name, r.queues.Queued(), r.queues.Running())
 		}
 	}
 	if l.owner == nil {
 		return
 	}
-	for _, x := range l.owner.Limits().Targets() {
+	for _, x := range l.owner.Targets().Targets() {
 		if x.Used() != 0 || x.Unconfirmed() != 0 {
 			t.Errorf("seed %d: %s still has %d used, %d unconfirmed", seed, x.Name, x.Used(), x.Unconfirmed())
 		}
--- a/internal/schedule/inbound.go
+++ b/internal/schedule/inbound.go
@@ -12,31 +12,31 @@
 // and ignored.
 func (o *Owner) Demand(from string, m *DemandMsg, now time.Duration) {
 	p := o.peers[from]
-	if p == nil || m.Epoch > o.epoch || p.isRetired(m.Inc) {
+	if p == nil || m.Epoch > o.epoch || p.isRetired(m.Incarnation) {
 		o.Stats.Stale++
 		return
 	}
-	sameSession := p.reported && m.Epoch == o.epoch && m.Inc == p.incarnation
-	if sameSession && (m.Gen < p.generation || m.Gen == p.generation && m.Seq <= p.seq) {
+	sameSession := p.reported && m.Epoch == o.epoch && m.Incarnation == p.incarnation
+	if sameSession && (m.Generation < p.generation || m.Generation == p.generation && m.Seq <= p.seq) {
 		o.Stats.Stale++ // duplicate, or overtaken by a report
 		return
 	}
-	if !sameSession || m.Gen > p.generation || m.Seq > p.seq+1 || !p.inSync {
+	if !sameSession || m.Generation > p.generation || m.Seq > p.seq+1 || !p.inSync {
 		o.Stats.Gaps++
 		p.inSync = false
 		o.requestReport(p, now)
 		return
 	}
-	o.recordReceipt(p, &m.Head, now)
+	o.recordReceipt(p, &m.Header, now)
 	o.applyDemand(p, m, now)
 }
 
 // recordReceipt updates the record of an instance for a message received in order.
-func (o *Owner) recordReceipt(p *peer, h *Head, now time.Duration) {
+func (o *Owner) recordReceipt(p *peer, h *Header, now time.Duration) {
 	p.seq, p.lastClock, p.lastReceivedAt = h.Seq, h.Clock, now
-	if p.awaitedAck != 0 && h.Got >= p.awaitedAck {
+	if p.awaitedAck != 0 && h.GrantsReceived >= p.awaitedAck {
 		p.awaitedAck = 0
-		if p.grantsSent > h.Got {
+		if p.grantsSent > h.GrantsReceived {
 			p.awaitedAck, p.awaitingSince = p.grantsSent, now
 		}
 	}
@@ -46,7 +46,7 @@
 	o.applyOutcomes(p, m.Done, now)
 	for i := range m.Confirmed {
 		c := &m.Confirmed[i]
-		if r := p.requests[c.N]; r != nil && !r.waiting {
+		if r := p.requests[c.Number]; r != nil && !r.waiting {
 			o.targets.Confirm(&r.work, c.Warmth, c.Boot, now)
 		}
 	}
@@ -59,19 +59,19 @@
 	}
 }
 
-func (o *Owner) addWaiting(p *peer, a *Add, now time.Duration) {
-	if p.requests[a.N] != nil {
+func (o *Owner) addWaiting(p *peer, a *Announcement, now time.Duration) {
+	if p.requests[a.Number] != nil {
 		return
 	}
-	if p.waiting >= Window*(o.workspaceCount+spareWorkspaces) {
+	if p.waiting >= MaxAnnounced*(o.workspaceCount+spareWorkspaces) {
 		o.Stats.Dropped++
 		return
 	}
 	q := o.queueOf(a.Workspace)
 	r := o.newRequest()
-	*r = request{number: a.N, peer: p, queue: q, kind: fairness.Kind(a.Class), hint: a.Hint,
+	*r = request{number: a.Number, peer: p, queue: q, class: fairness.CostClassIndex(a.Class), hint: a.Hint,
 		avoid: a.Avoid, waiting: true, announcedAt: now}
-	p.requests[a.N] = r
+	p.requests[a.Number] = r
 	p.waiting++
 	q.push(r)
 	o.accounts.Activate(q.account)
@@ -130,27 +130,27 @@
 func (o *Owner) refund(r *request, now time.Duration) {
 	o.Stats.Refunded++
 	o.accounts.Refund(r.queue.account, r.estimate)
-	o.targets.Discard(&r.work, now)
+	o.targets.Remove(&r.work, now)
 	o.recycle(r)
 }
 
-func (o *Owner) applyOutcomes(p *peer, list []Done, now time.Duration) {
+func (o *Owner) applyOutcomes(p *peer, list []Completion, now time.Duration) {
 	for i := range list {
 		o.applyOutcome(p, &list[i], now)
 	}
 }
 
-func (o *Owner) applyOutcome(p *peer, d *Done, now time.Duration) {
+func (o *Owner) applyOutcome(p *peer, d *Completion, now time.Duration) {
 	if d.Outcome.Result == api.ResultNotStarted {
-		o.cancelRequest(p, d.N, now)
+		o.cancelRequest(p, d.Number, now)
 		return
 	}
-	r := p.requests[d.N]
+	r := p.requests[d.Number]
 	if r == nil || r.waiting {
 		return
 	}
 	o.Stats.Settled++
-	o.accounts.Settle(r.queue.account, r.kind, r.estimate, d.Outcome.Cost, d.Outcome.Cost > 0)
+	o.accounts.Settle(r.queue.account, r.class, r.estimate, d.Outcome.Cost, d.Outcome.Cost > 0)
 	o.targets.End(&r.work, d.Outcome, now)
 	o.recycle(r)
 }
--- a/internal/schedule/local.go
+++ b/internal/schedule/local.go
@@ -21,5 +21,5 @@
 	// the owner.
 	Grant(from string, m *GrantMsg)
 	// Service handles a copy of the virtual service table.
-	Service(from string, m *ServiceMsg)
+	Service(from string, m *ServiceTableMsg)
 }
--- a/internal/schedule/message.go
+++ b/internal/schedule/message.go
@@ -7,15 +7,15 @@
 
 // RPC methods of the messages between entry instances and the owner of a pool.
 const (
-	MethodDemand  = "sched.demand"
-	MethodGrant   = "sched.grant"
-	MethodReport  = "sched.report"
-	MethodService = "sched.service"
+	MethodDemand       = "sched.demand"
+	MethodGrant        = "sched.grant"
+	MethodReport       = "sched.report"
+	MethodServiceTable = "sched.service"
 )
 
-// Add announces a waiting request.
-type Add struct {
-	N         uint64 // number of the request on its instance
+// Announcement announces a waiting request.
+type Announcement struct {
+	Number    uint64 // number of the request on its instance
 	Workspace string
 	Class     api.CostClass
 	Hint      float64 // expected cost in cost units; 0 = none
@@ -24,20 +24,20 @@
 
 // Confirm reports the first byte of a response.
 type Confirm struct {
-	N      uint64 // number of the request
+	Number uint64 // number of the request
 	Warmth api.Warmth
 	Boot   uint64 // boot number of the target; 0 = unknown
 }
 
-// Done reports that a request has ended or has returned its grant unused.
-type Done struct {
-	N       uint64 // number of the request
+// Completion reports that a request has ended or has returned its grant unused.
+type Completion struct {
+	Number  uint64 // number of the request
 	Outcome api.Outcome
 }
 
 // Running describes a started request in a full report.
 type Running struct {
-	N         uint64 // number of the request
+	Number    uint64 // number of the request
 	Workspace string
 	Target    string
 	Class     api.CostClass
@@ -46,35 +46,35 @@
 	AgeMs     uint64  // milliseconds since the start
 }
 
-// Head identifies a message from an instance.
-type Head struct {
-	Pool  string
-	Epoch uint64 // epoch of the owner as known to the instance
-	Inc   uint64 // incarnation of the sender; differs for each pool and process
-	Gen   uint64 // generation: number of the newest full report
-	Seq   uint64 // number of this message in its generation, from 1; 0 = the full report
-	Clock uint64 // instance's clock in milliseconds
-	Got   uint64 // number of grants received in this generation
+// Header identifies a message from an instance.
+type Header struct {
+	Pool           string
+	Epoch          uint64 // epoch of the owner as known to the instance
+	Incarnation    uint64 // incarnation of the sender; differs for each pool and process
+	Generation     uint64 // generation: number of the newest full report
+	Seq            uint64 // number of this message in its generation, from 1; 0 = the full report
+	Clock          uint64 // instance's clock in milliseconds
+	GrantsReceived uint64 // number of grants received in this generation
 }
 
 // DemandMsg carries the changes since the last message of an instance.
 type DemandMsg struct {
-	Head
-	Added     []Add
+	Header
+	Added     []Announcement
 	Cancelled []uint64 // numbers of requests
 	Confirmed []Confirm
-	Done      []Done
+	Done      []Completion
 }
 
 // ReportMsg is a full report: all announced and running requests of an instance
 // and the outcomes that the owner has not acknowledged.
 type ReportMsg struct {
-	Head
-	Waiting []Add
-	Running []Running
-	Done    []Done
-	Table   ServiceMsg // newest copy that the instance has received
-	Since   []Usage    // service since that copy
+	Header
+	Waiting           []Announcement
+	Running           []Running
+	Done              []Completion
+	Table             ServiceTableMsg // newest copy that the instance has received
+	ServiceSinceTable []Usage         // service since that copy
 }
 
 // Usage is service of one workspace in cost units. It is negative if estimates
@@ -87,7 +87,7 @@
 // Grant assigns a target to one request. A target is identified by its name the
 // first time in a generation and by Ref afterwards.
 type Grant struct {
-	N        uint64 // number of the request
+	Number   uint64 // number of the request
 	Target   string
 	Ref      uint64  // position of the name among those sent in this generation, from 1
 	Estimate float64 // cost units charged for the grant
@@ -95,28 +95,28 @@
 
 // GrantMsg carries grants to an instance, or requests a full report.
 type GrantMsg struct {
-	Pool  string // empty if the incarnation identifies the pool
-	Epoch uint64
-	Inc   uint64 // incarnation of the receiver
-	Gen   uint64 // generation of the receiver's newest report
-	Clock uint64 // newest clock value received from the instance, in milliseconds
-	First uint64 // number of grants sent in this generation before this message
-	Ack   uint64 // acknowledges messages up to this number; 0 = the full report alone
-	Want  bool   // a full report is requested
-	List  []Grant
+	Pool         string // empty if the incarnation identifies the pool
+	Epoch        uint64
+	Incarnation  uint64 // incarnation of the receiver
+	Generation   uint64 // generation of the receiver's newest report
+	Clock        uint64 // newest clock value received from the instance, in milliseconds
+	GrantsBefore uint64 // number of grants sent in this generation before this message
+	Ack          uint64 // acknowledges messages up to this number; 0 = the full report alone
+	WantReport   bool   // a full report is requested
+	Grants       []Grant
 }
 
-// ServiceMsg is a copy of the virtual service table.
-type ServiceMsg struct {
-	Pool    string
-	Epoch   uint64
-	Seq     uint64  // number of the copy; grows within an epoch
-	Virtual float64 // virtual time of the pool
-	Rows    []fairness.Row
+// ServiceTableMsg is a copy of the virtual service table.
+type ServiceTableMsg struct {
+	Pool        string
+	Epoch       uint64
+	Seq         uint64  // number of the copy; grows within an epoch
+	VirtualTime float64 // virtual time of the pool
+	Rows        []fairness.Row
 }
 
 // Newer reports whether the copy is newer than o, by epoch and then by number.
-func (m *ServiceMsg) Newer(o *ServiceMsg) bool {
+func (m *ServiceTableMsg) Newer(o *ServiceTableMsg) bool {
 	if m.Epoch != o.Epoch {
 		return m.Epoch > o.Epoch
 	}
--- a/internal/schedule/message_test.go
+++ b/internal/schedule/message_test.go
@@ -11,22 +11,22 @@
 	"nutmegrouter/internal/fairness"
 )
 
-var testHead = Head{Pool: "p", Epoch: 3, Inc: 4, Gen: 1, Seq: 7, Clock: 123456}
+var testHeader = Header{Pool: "p", Epoch: 3, Incarnation: 4, Generation: 1, Seq: 7, Clock: 123456}
 
 var testMessages = []json.Marshaler{
 	&DemandMsg{},
-	&DemandMsg{Head: testHead, Done: []Done{{N: 9, Outcome: api.Outcome{Result: api.ResultFailed, Boot: 2}}}},
-	&DemandMsg{Head: testHead, Added: []Add{{N: 1, Workspace: "ä\"\\\n", Class: api.ClassLong, Hint: 1.5, Avoid: "t1"}, {N: 2}},
-		Cancelled: []uint64{5, 0}, Confirmed: []Confirm{{N: 6, Warmth: api.WarmthCold, Boot: 3}, {}}},
-	&ReportMsg{Head: testHead, Waiting: []Add{{N: 1, Workspace: "w"}},
-		Running: []Running{{N: 8, Workspace: "w", Target: "t", Class: api.ClassQuick, Estimate: 12.25, Confirmed: true, AgeMs: 5}},
-		Done:    []Done{{N: 9, Outcome: api.Outcome{Result: api.ResultOK, Cost: 0.5, Warmth: api.WarmthWarm}}},
-		Table:   ServiceMsg{Epoch: 2, Seq: 4, Virtual: 1e7, Rows: []fairness.Row{{Workspace: "w", Ahead: -3, Learned: [4]float64{0, 0, 7}}}},
-		Since:   []Usage{{"w", -2.5}}},
+	&DemandMsg{Header: testHeader, Done: []Completion{{Number: 9, Outcome: api.Outcome{Result: api.ResultFailed, Boot: 2}}}},
+	&DemandMsg{Header: testHeader, Added: []Announcement{{Number: 1, Workspace: "ä\"\\\n", Class: api.ClassLong, Hint: 1.5, Avoid: "t1"}, {Number: 2}},
+		Cancelled: []uint64{5, 0}, Confirmed: []Confirm{{Number: 6, Warmth: api.WarmthCold, Boot: 3}, {}}},
+	&ReportMsg{Header: testHeader, Waiting: []Announcement{{Number: 1, Workspace: "w"}},
+		Running:           []Running{{Number: 8, Workspace: "w", Target: "t", Class: api.ClassQuick, Estimate: 12.25, Confirmed: true, AgeMs: 5}},
+		Done:              []Completion{{Number: 9, Outcome: api.Outcome{Result: api.ResultOK, Cost: 0.5, Warmth: api.WarmthWarm}}},
+		Table:             ServiceTableMsg{Epoch: 2, Seq: 4, VirtualTime: 1e7, Rows: []fairness.Row{{Workspace: "w", RelativeService: -3, MeanCosts: [4]float64{0, 0, 7}}}},
+		ServiceSinceTable: []Usage{{"w", -2.5}}},
 	&ReportMsg{},
-	&GrantMsg{Pool: "p", Epoch: 1, Inc: 2, Gen: 3, Clock: 4, First: 5, Ack: 6, Want: true, List: []Grant{{1, "t", 0, 100}, {2, "", 1, 0}, {}}},
-	&GrantMsg{Want: true, Pool: "p"},
-	&ServiceMsg{Pool: "p", Epoch: 9, Seq: 8, Virtual: 1234567.125, Rows: []fairness.Row{{Workspace: "w", Ahead: 2}}},
+	&GrantMsg{Pool: "p", Epoch: 1, Incarnation: 2, Generation: 3, Clock: 4, GrantsBefore: 5, Ack: 6, WantReport: true, Grants: []Grant{{1, "t", 0, 100}, {2, "", 1, 0}, {}}},
+	&GrantMsg{WantReport: true, Pool: "p"},
+	&ServiceTableMsg{Pool: "p", Epoch: 9, Seq: 8, VirtualTime: 1234567.125, Rows: []fairness.Row{{Workspace: "w", RelativeService: 2}}},
 }
 
 func newOfType(m any) json.Unmarshaler {
@@ -68,7 +68,7 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		for _, m := range []any{&DemandMsg{}, &ReportMsg{}, &GrantMsg{}, &ServiceMsg{}} {
+		for _, m := range []any{&DemandMsg{}, &ReportMsg{}, &GrantMsg{}, &ServiceTableMsg{}} {
 			if m.(json.Unmarshaler).UnmarshalJSON(raw) != nil {
 				continue
 			}
--- a/internal/schedule/outbound.go
+++ b/internal/schedule/outbound.go
@@ -9,107 +9,107 @@
 
 // Tick announces requests whose delay has passed, and removes and returns the
 // waiting requests that missed their deadline.
-func (r *Router) Tick(now time.Duration) []*Item {
-	for _, q := range r.queues {
+func (e *EntryQueues) Tick(now time.Duration) []*LocalRequest {
+	for _, q := range e.queues {
 		if q.announceAfter != 0 && now >= q.announceAfter {
 			q.announceAfter = 0
-			r.announce(q, now)
+			e.announce(q, now)
 		}
 		if q.waiting() == 0 && now-q.lastGrantAt > maxRetryAfter {
-			delete(r.queues, q.workspace)
+			delete(e.queues, q.workspace)
 		}
 	}
-	if r.earliestDeadline == 0 || now < r.earliestDeadline {
+	if e.earliestDeadline == 0 || now < e.earliestDeadline {
 		return nil
 	}
-	return r.expire(now)
+	return e.expire(now)
 }
 
-func (r *Router) expire(now time.Duration) []*Item {
-	var expired []*Item
-	r.earliestDeadline = 0
-	r.eachWaiting(func(it *Item) {
-		switch d := it.Demand.Deadline; {
+func (e *EntryQueues) expire(now time.Duration) []*LocalRequest {
+	var expired []*LocalRequest
+	e.earliestDeadline = 0
+	e.eachWaiting(func(req *LocalRequest) {
+		switch d := req.Demand.Deadline; {
 		case d == 0:
 		case d <= now:
-			expired = append(expired, it)
-		case r.earliestDeadline == 0 || d < r.earliestDeadline:
-			r.earliestDeadline = d
+			expired = append(expired, req)
+		case e.earliestDeadline == 0 || d < e.earliestDeadline:
+			e.earliestDeadline = d
 		}
 	})
-	for _, it := range expired {
-		r.Cancel(it, now)
+	for _, req := range expired {
+		e.Cancel(req, now)
 	}
 	return expired
 }
 
 // RefuseAll removes all waiting requests from the queue and returns them.
-func (r *Router) RefuseAll(now time.Duration) []*Item {
-	var all []*Item
-	r.eachWaiting(func(it *Item) { all = append(all, it) })
+func (e *EntryQueues) RefuseAll(now time.Duration) []*LocalRequest {
+	var all []*LocalRequest
+	e.eachWaiting(func(req *LocalRequest) { all = append(all, req) })
 	// Unannounced requests go first, so that no cancellation announces another one.
-	slices.SortStableFunc(all, func(a, b *Item) int { return cmp.Compare(a.state, b.state) })
-	for _, it := range all {
-		r.Cancel(it, now)
+	slices.SortStableFunc(all, func(a, b *LocalRequest) int { return cmp.Compare(a.state, b.state) })
+	for _, req := range all {
+		e.Cancel(req, now)
 	}
 	return all
 }
 
-func (r *Router) eachWaiting(f func(it *Item)) {
-	for _, q := range r.queues {
-		for it := q.announced.head; it != nil; it = it.next {
-			f(it)
+func (e *EntryQueues) eachWaiting(f func(req *LocalRequest)) {
+	for _, q := range e.queues {
+		for req := q.announced.head; req != nil; req = req.next {
+			f(req)
 		}
-		for it := q.unannounced.head; it != nil; it = it.next {
-			f(it)
+		for req := q.unannounced.head; req != nil; req = req.next {
+			f(req)
 		}
 	}
 }
 
 // Pending reports whether Flush has a message to send now.
-func (r *Router) Pending(now time.Duration) bool {
-	if r.owner == "" {
+func (e *EntryQueues) Pending(now time.Duration) bool {
+	if e.owner == "" {
 		return false
 	}
-	d := &r.pendingDemand
-	return r.reportDue || len(d.Added)+len(d.Cancelled)+len(d.Confirmed)+len(d.Done) > 0 || r.heartbeatDue(now)
+	d := &e.pendingDemand
+	return e.reportDue || len(d.Added)+len(d.Cancelled)+len(d.Confirmed)+len(d.Done) > 0 || e.heartbeatDue(now)
 }
 
 // heartbeatDue reports whether a message is due although nothing has changed: an
 // acknowledgement of grants or a heartbeat.
-func (r *Router) heartbeatDue(now time.Duration) bool {
-	idle := now - r.lastSentAt
+func (e *EntryQueues) heartbeatDue(now time.Duration) bool {
+	idle := now - e.lastSentAt
 	switch {
-	case r.queued > 0 && r.grantsReceived != r.grantsAcked:
+	case e.queued > 0 && e.grantsReceived != e.grantsAcked:
 		return idle >= maxAckDelay
-	case r.queued > 0 || len(r.items) > 0:
+	case e.queued > 0 || len(e.requests) > 0:
 		return idle >= busyHeartbeatInterval
 	}
-	return idle >= idleHeartbeatInterval && now-r.lastActiveAt < idleHeartbeatDuration
+	return idle >= idleHeartbeatInterval && now-e.lastActiveAt < idleHeartbeatDuration
 }
 
 // Flush returns the message that is due, either changes or a full report, or nil
-// for both. The caller must send it to the owner, or call Lost if it cannot. The
-// message is valid until the next call on the router.
-func (r *Router) Flush(now time.Duration) (*DemandMsg, *ReportMsg) {
-	if !r.Pending(now) {
+// for both. The caller must send it to the owner, or call MessageNotSent if it
+// cannot. The message is valid until the next call on the queues.
+func (e *EntryQueues) Flush(now time.Duration) (*DemandMsg, *ReportMsg) {
+	if !e.Pending(now) {
 		return nil, nil
 	}
-	r.lastSentAt, r.grantsAcked = now, r.grantsReceived
-	if r.reportDue {
-		return nil, r.buildReport(now)
+	e.lastSentAt, e.grantsAcked = now, e.grantsReceived
+	if e.reportDue {
+		return nil, e.buildReport(now)
 	}
-	r.seq++
-	r.pendingDemand.Head = r.newHead(now)
-	r.swapBuffers()
-	return &r.sentDemand, nil
+	e.seq++
+	e.pendingDemand.Header = e.newHeader(now)
+	e.swapBuffers()
+	return &e.sentDemand, nil
 }
 
 // swapBuffers moves the filled message to sentDemand and starts the next one in the
 // buffers of the message sent before.
-func (r *Router) swapBuffers() {
-	r.pendingDemand, r.sentDemand = r.sentDemand, r.pendingDemand
-	r.pendingDemand.clear()
+func (e *EntryQueues) swapBuffers() {
+	e.pendingDemand, e.sentDemand = e.sentDemand, e.pendingDemand
+	e.pendingDemand.clear()
 }
 
 func (m *DemandMsg) clear() {
@@ -117,59 +117,59 @@
 	m.Confirmed, m.Done = m.Confirmed[:0], m.Done[:0]
 }
 
-func (r *Router) newHead(now time.Duration) Head {
-	return Head{r.pool, r.epoch, r.incarnation, r.generation, r.seq, toMs(now), r.grantsReceived}
+func (e *EntryQueues) newHeader(now time.Duration) Header {
+	return Header{e.pool, e.epoch, e.incarnation, e.generation, e.seq, toMs(now), e.grantsReceived}
 }
 
 // buildReport starts a new generation, which invalidates all grants in flight, and
 // returns its full report.
-func (r *Router) buildReport(now time.Duration) *ReportMsg {
-	r.generation++
-	r.seq, r.grantsReceived, r.grantsAcked, r.targetNames = 0, 0, 0, r.targetNames[:0]
-	r.reportDue = false
-	r.lastReportAt = now
-	m := &r.report
-	m.Head = r.newHead(now)
+func (e *EntryQueues) buildReport(now time.Duration) *ReportMsg {
+	e.generation++
+	e.seq, e.grantsReceived, e.grantsAcked, e.targetNames = 0, 0, 0, e.targetNames[:0]
+	e.reportDue = false
+	e.lastReportAt = now
+	m := &e.report
+	m.Header = e.newHeader(now)
 	m.Waiting, m.Running = m.Waiting[:0], m.Running[:0]
-	for _, it := range r.sortedItems() {
-		if it.state == stateAnnounced {
-			m.Waiting = append(m.Waiting, it.announcement())
+	for _, req := range e.sortedRequests() {
+		if req.state == stateAnnounced {
+			m.Waiting = append(m.Waiting, req.announcement())
 			continue
 		}
-		m.Running = append(m.Running, it.runningEntry(now))
+		m.Running = append(m.Running, req.runningEntry(now))
 	}
-	m.Table = r.serviceTable
+	m.Table = e.serviceTable
 	m.Table.Pool = ""
-	r.addOutcomesAndService(m)
+	e.addOutcomesAndService(m)
 	return m
 }
 
 // addOutcomesAndService adds to a report the outcomes that are not acknowledged and
 // the service since the last copy of the table, from which a new owner rebuilds
 // the accounts.
-func (r *Router) addOutcomesAndService(m *ReportMsg) {
+func (e *EntryQueues) addOutcomesAndService(m *ReportMsg) {
 	m.Done = m.Done[:0]
-	for i := range r.unackedOutcomes {
-		r.unackedOutcomes[i].seq = 0
-		m.Done = append(m.Done, r.unackedOutcomes[i].Done)
+	for i := range e.unackedOutcomes {
+		e.unackedOutcomes[i].seq = 0
+		m.Done = append(m.Done, e.unackedOutcomes[i].Completion)
 	}
-	m.Since = m.Since[:0]
-	for _, ws := range slices.Sorted(maps.Keys(r.serviceSinceTable)) {
-		m.Since = append(m.Since, Usage{ws, r.serviceSinceTable[ws]})
+	m.ServiceSinceTable = m.ServiceSinceTable[:0]
+	for _, ws := range slices.Sorted(maps.Keys(e.serviceSinceTable)) {
+		m.ServiceSinceTable = append(m.ServiceSinceTable, Usage{ws, e.serviceSinceTable[ws]})
 	}
 }
 
-func (it *Item) runningEntry(now time.Duration) Running {
-	return Running{it.N, it.Demand.Workspace, it.target, it.Demand.Class,
-		it.estimate, it.confirmed, toMs(now - it.startedAt)}
+func (req *LocalRequest) runningEntry(now time.Duration) Running {
+	return Running{req.Number, req.Demand.Workspace, req.target, req.Demand.Class,
+		req.estimate, req.confirmed, toMs(now - req.startedAt)}
 }
 
 // sortedItems returns the announced and running requests in order of announcement.
-func (r *Router) sortedItems() []*Item {
-	all := make([]*Item, 0, len(r.items))
-	for _, it := range r.items {
-		all = append(all, it)
+func (e *EntryQueues) sortedRequests() []*LocalRequest {
+	all := make([]*LocalRequest, 0, len(e.requests))
+	for _, req := range e.requests {
+		all = append(all, req)
 	}
-	slices.SortFunc(all, func(a, b *Item) int { return cmp.Compare(a.N, b.N) })
+	slices.SortFunc(all, func(a, b *LocalRequest) int { return cmp.Compare(a.Number, b.Number) })
 	return all
 }
--- a/internal/schedule/owner.go
+++ b/internal/schedule/owner.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// Window is the largest number of waiting requests of one workspace that an
+	// MaxAnnounced is the largest number of waiting requests of one workspace that an
 	// instance announces. It bounds the owner's state.
-	Window = 64
+	MaxAnnounced = 64
 	// maxGrantSilence is the silence after which an instance gets no grants.
 	// Instances with waiting requests send every 250 ms and return grants that
 	// echo a clock value older than 1 s.
@@ -58,17 +58,17 @@
 	Lost                          uint64 // requests whose outcome was never reported
 }
 
-// Note is a change of state, recorded as an event of the timeline.
-type Note struct {
+// Change is a change of state, recorded as an event of the timeline.
+type Change struct {
 	Step   string // what happened
 	Peer   string // instance concerned, or ""
 	Target string // target concerned, or ""
 	Detail string
 }
 
-// maxNotes bounds the notes kept between two calls of Notes; further ones are
+// maxChanges bounds the changes kept between two calls of Changes; further ones are
 // dropped.
-const maxNotes = 256
+const maxChanges = 256
 
 // Owner schedules the requests of one pool during one epoch of ownership. It is not
 // safe for concurrent use.
@@ -86,14 +86,14 @@
 
 	open           bool
 	workspaceCount int
-	newestTable    ServiceMsg // newest copy in a report received before the owner opened
-	tableSeq       uint64     // number of the last copy sent; starts at the clock value, so that it grows if one instance owns an epoch twice
+	newestTable    ServiceTableMsg // newest copy in a report received before the owner opened
+	tableSeq       uint64          // number of the last copy sent; starts at the clock value, so that it grows if one instance owns an epoch twice
 	tableCopies    uint64
 	lastCopyEmpty  bool   // the last copy had no rows
 	copiedChanges  uint64 // number of changes contained in the last copy
 	lastTargetTick time.Duration
 	lastForget     time.Duration
-	notes          []Note
+	changes        []Change
 	grantMsg       GrantMsg
 }
 
@@ -106,7 +106,7 @@
 		accounts: fairness.New(), targets: limits.NewSet(),
 		peers: make(map[string]*peer, len(instances)),
 	}
-	o.targets.Gate(now+maxGateTime, now)
+	o.targets.AwaitReports(now+maxGateTime, now)
 	for _, name := range slices.Sorted(maps.Keys(instances)) {
 		p := &peer{name: name, dataCentre: instances[name], lastReceivedAt: now, requests: map[uint64]*request{}, targetRefs: map[string]uint64{}}
 		o.peers[name] = p
@@ -126,12 +126,12 @@
 // no lease.
 func (o *Owner) Open() bool { return o.open }
 
-// Limits returns the targets of the pool with their limits, which the caller may
+// Targets returns the targets of the pool with their limits, which the caller may
 // update.
-func (o *Owner) Limits() *limits.Set { return o.targets }
+func (o *Owner) Targets() *limits.Set { return o.targets }
 
-// Fair returns the virtual service accounts of the workspaces.
-func (o *Owner) Fair() *fairness.Table { return o.accounts }
+// Accounts returns the virtual service accounts of the workspaces.
+func (o *Owner) Accounts() *fairness.Table { return o.accounts }
 
 // SetWeights sets the weights of the configured workspaces.
 func (o *Owner) SetWeights(weights map[string]float64) {
@@ -139,20 +139,20 @@
 	o.accounts.SetWeights(weights)
 }
 
-// Notes returns and clears the changes of state since the last call. The slice is
+// Changes returns and clears the changes of state since the last call. The slice is
 // reused.
-func (o *Owner) Notes() []Note {
+func (o *Owner) Changes() []Change {
 	for _, c := range o.targets.Changes() {
-		o.note(Note{Step: "target", Target: c.Target, Detail: c.What})
+		o.recordChange(Change{Step: "target", Target: c.Target, Detail: c.Event})
 	}
-	n := o.notes
-	o.notes = o.notes[:0]
-	return n
+	c := o.changes
+	o.changes = o.changes[:0]
+	return c
 }
 
-func (o *Owner) note(n Note) {
-	if len(o.notes) < maxNotes {
-		o.notes = append(o.notes, n)
+func (o *Owner) recordChange(c Change) {
+	if len(o.changes) < maxChanges {
+		o.changes = append(o.changes, c)
 	}
 }
 
@@ -182,7 +182,7 @@
 	if t == nil {
 		return false
 	}
-	r.estimate = o.accounts.Charge(w, r.kind, r.hint)
+	r.estimate = o.accounts.Charge(w, r.class, r.hint)
 	o.dequeue(r)
 	o.targets.Begin(t, &r.work, now)
 	o.queueGrant(r.peer, r.peer.newGrant(r, t.Name), now)
@@ -219,8 +219,8 @@
 			continue
 		}
 		o.grantMsg = GrantMsg{
-			Epoch: o.epoch, Inc: p.incarnation, Gen: p.generation, Clock: p.lastClock,
-			First: p.grantsSent - uint64(len(p.pendingGrants)), Ack: p.takeAck(), Want: p.wantReport, List: p.pendingGrants,
+			Epoch: o.epoch, Incarnation: p.incarnation, Generation: p.generation, Clock: p.lastClock,
+			GrantsBefore: p.grantsSent - uint64(len(p.pendingGrants)), Ack: p.takeAck(), WantReport: p.wantReport, Grants: p.pendingGrants,
 		}
 		if p.wantReport {
 			o.grantMsg.Pool = o.pool // the instance may be a new process without this incarnation
@@ -249,11 +249,11 @@
 // the learned mean costs, which are most of its bytes and change slowly.
 const copiesPerLearnedMeans = 5
 
-// Service fills m with a copy of the virtual service table: all accounts, or only
+// ServiceTable fills m with a copy of the virtual service table: all accounts, or only
 // those that are backlogged or carry much debt. It returns false if there is
 // nothing to send: before the owner is open, if the last copy was empty as well, or,
 // unless all is set, if nothing has changed since the last copy.
-func (o *Owner) Service(m *ServiceMsg, all bool) bool {
+func (o *Owner) ServiceTable(m *ServiceTableMsg, all bool) bool {
 	changes := o.Stats.Grants + o.Stats.Settled + o.Stats.Refunded + o.Stats.Lost
 	if !o.open || changes == o.copiedChanges && !all {
 		return false
@@ -261,7 +261,7 @@
 	o.copiedChanges = changes
 	o.tableCopies++
 	o.tableSeq++
-	m.Pool, m.Epoch, m.Seq, m.Virtual = o.pool, o.epoch, o.tableSeq, o.accounts.VirtualTime()
+	m.Pool, m.Epoch, m.Seq, m.VirtualTime = o.pool, o.epoch, o.tableSeq, o.accounts.VirtualTime()
 	m.Rows = o.accounts.Rows(m.Rows[:0], all)
 	if len(m.Rows) == 0 && o.lastCopyEmpty {
 		return false // the last copy was empty as well
@@ -269,7 +269,7 @@
 	o.lastCopyEmpty = len(m.Rows) == 0
 	for i := range m.Rows {
 		if !all && o.tableCopies%copiesPerLearnedMeans != 1 {
-			m.Rows[i].Learned = [fairness.Kinds]float64{}
+			m.Rows[i].MeanCosts = [fairness.NumCostClasses]float64{}
 		}
 	}
 	return true
