--- a/internal/schedule/protocol_test.go
+++ b/internal/schedule/protocol_test.go
@@ -12,11 +12,11 @@
 	"nutmegrouter/internal/limits"
 )
 
-// pair connects one owner and one router without a network, so that a test controls
+// pair connects one Owner and one EntryQueues without a network, so that a test controls
 // every message.
 type pair struct {
 	owner       *Owner
-	router      *Router
+	queues      *EntryQueues
 	now         time.Duration
 	leaseValid  bool
 	targetKnown bool
@@ -26,23 +26,23 @@
 func (p *pair) Address(string, string) (string, bool) { return "a", p.targetKnown }
 
 func newPair(slots int) *pair {
-	p := &pair{now: time.Minute, leaseValid: true, targetKnown: true, router: NewRouter("p", 7)}
+	p := &pair{now: time.Minute, leaseValid: true, targetKnown: true, queues: NewEntryQueues("p", 7)}
 	p.newOwner(1, slots)
-	p.router.SetOwner("o", 1)
+	p.queues.SetOwner("o", 1)
 	p.deliverToOwner()
 	return p
 }
 
 func (p *pair) newOwner(epoch uint64, slots int) {
 	p.owner = NewOwner("p", epoch, map[string]string{"r": "dc"}, p.now)
-	p.owner.Limits().Configure([]limits.Config{{Name: "t", DataCentre: "dc", WarmCapacity: slots, ColdCapacity: slots,
-		EvidenceLife: time.Minute, ReportLag: time.Second, RequestLimit: time.Hour}}, p.now)
+	p.owner.Targets().Configure([]limits.Config{{Name: "t", DataCentre: "dc", WarmCapacity: slots, ColdCapacity: slots,
+		WarmthTTL: time.Minute, ReportLag: time.Second, RequestLimit: time.Hour}}, p.now)
 }
 
-// deliverToOwner delivers all messages that the router has due.
+// deliverToOwner delivers all messages that the entry queues have due.
 func (p *pair) deliverToOwner() {
 	for {
-		demand, report := p.router.Flush(p.now)
+		demand, report := p.queues.Flush(p.now)
 		if demand == nil && report == nil {
 			return
 		}
@@ -50,7 +50,7 @@
 			p.owner.Demand("r", demand, p.now)
 		} else {
 			p.owner.Report("r", report, p.now)
-			p.owner.Limits().Silent("t", p.now)
+			p.owner.Targets().PollFailed("t", p.now)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	var out *GrantMsg
 	p.owner.Flush(func(_ string, m *GrantMsg) bool {
 		c := *m
-		c.List = slices.Clone(m.List)
+		c.Grants = slices.Clone(m.Grants)
 		out = &c
 		return true
 	})
@@ -74,22 +74,22 @@
 	if m == nil {
 		return 0
 	}
-	return len(p.router.OnGrant("o", m, p.now, p))
+	return len(p.queues.OnGrant("o", m, p.now, p))
 }
 
 func (p *pair) advance(d time.Duration) {
 	for end := p.now + d; p.now < end; {
 		p.now += 50 * ms
-		p.router.Tick(p.now)
+		p.queues.Tick(p.now)
 		p.deliverToOwner()
 		p.owner.Tick(p.now, func(string) bool { return true })
 	}
 }
 
-func (p *pair) enqueue(n int) (all []*Item) {
+func (p *pair) enqueue(n int) (all []*LocalRequest) {
 	for i := range n {
-		it, _ := p.router.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"}, 1000, p.now)
-		all = append(all, it)
+		req, _ := p.queues.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"}, 1000, p.now)
+		all = append(all, req)
 	}
 	p.deliverToOwner()
 	return all
@@ -108,11 +108,16 @@
 		{"lost", func(p *pair) int { p.schedule(); return 0 }, 0},
 		{"duplicated", func(p *pair) int { m := p.schedule(); return p.deliverToRouter(m) + p.deliverToRouter(m) }, 1},
 		{"delayed", func(p *pair) int { m := p.schedule(); p.now += maxEchoedClockAge + 1*ms; return p.deliverToRouter(m) }, 0},
-		{"overtaken by a report", func(p *pair) int { m := p.schedule(); p.router.Lost(); p.deliverToOwner(); return p.deliverToRouter(m) }, 0},
-		{"earlier epoch", func(p *pair) int { m := p.schedule(); p.router.SetOwner("x", 2); return p.deliverToRouter(m) }, 0},
+		{"overtaken by a report", func(p *pair) int {
+			m := p.schedule()
+			p.queues.MessageNotSent()
+			p.deliverToOwner()
+			return p.deliverToRouter(m)
+		}, 0},
+		{"earlier epoch", func(p *pair) int { m := p.schedule(); p.queues.SetOwner("x", 2); return p.deliverToRouter(m) }, 0},
 		{"clock of another process", func(p *pair) int { m := p.schedule(); m.Clock += 500; return p.deliverToRouter(m) }, 0},
-		{"other incarnation", func(p *pair) int { m := p.schedule(); m.Inc++; return p.deliverToRouter(m) }, 0},
-		{"gap", func(p *pair) int { m := p.schedule(); m.First++; return p.deliverToRouter(m) }, 0},
+		{"other incarnation", func(p *pair) int { m := p.schedule(); m.Incarnation++; return p.deliverToRouter(m) }, 0},
+		{"gap", func(p *pair) int { m := p.schedule(); m.GrantsBefore++; return p.deliverToRouter(m) }, 0},
 		{"no lease", func(p *pair) int { m := p.schedule(); p.leaseValid = false; return p.deliverToRouter(m) }, 0},
 		{"target unknown or out of service", func(p *pair) int { m := p.schedule(); p.targetKnown = false; return p.deliverToRouter(m) }, 0},
 	}
@@ -120,43 +125,43 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p := newPair(1)
-			it := p.enqueue(1)[0]
+			req := p.enqueue(1)[0]
 			is.Equal(c.handle(p), c.wantStarted)
-			is.Equal(it.Started(), c.wantStarted == 1)
+			is.Equal(req.Started(), c.wantStarted == 1)
 			p.leaseValid, p.targetKnown = true, true
-			if _, epoch := p.router.Owner(); epoch == 2 {
+			if _, epoch := p.queues.Owner(); epoch == 2 {
 				p.newOwner(2, 1)
 			}
 			for range 60 {
 				p.advance(50 * ms)
 				p.deliverToRouter(p.schedule())
 			}
-			is.True(it.Started()) // granted again
-			is.Equal(p.owner.Limits().Target("t").Used(), 1)
-			p.router.Done(it, api.Outcome{Result: api.ResultOK, Cost: 5}, p.now)
+			is.True(req.Started()) // granted again
+			is.Equal(p.owner.Targets().Target("t").Used(), 1)
+			p.queues.Done(req, api.Outcome{Result: api.ResultOK, Cost: 5}, p.now)
 			p.deliverToOwner()
-			is.Equal(p.owner.Limits().Target("t").Used(), 0)
+			is.Equal(p.owner.Targets().Target("t").Used(), 0)
 		})
 	}
 }
 
-// Guards against a router that announces more than Window requests of a workspace,
-// and against requests beyond Window that are never announced.
+// Guards against entry queues that announce more than MaxAnnounced requests of a workspace,
+// and against requests beyond MaxAnnounced that are never announced.
 func TestWindow(t *testing.T) {
 	is := is.New(t)
 	p := newPair(10)
-	all := p.enqueue(3 * Window)
-	is.Equal(p.owner.Waiting(), Window)
+	all := p.enqueue(3 * MaxAnnounced)
+	is.Equal(p.owner.Waiting(), MaxAnnounced)
 	started := 0
-	for range 3 * Window {
+	for range 3 * MaxAnnounced {
 		started += p.deliverToRouter(p.schedule())
-		for _, it := range all {
-			p.router.Done(it, api.Outcome{Result: api.ResultOK, Cost: 1}, p.now)
+		for _, req := range all {
+			p.queues.Done(req, api.Outcome{Result: api.ResultOK, Cost: 1}, p.now)
 		}
 		p.deliverToOwner()
-		is.True(p.owner.Waiting() <= Window)
+		is.True(p.owner.Waiting() <= MaxAnnounced)
 	}
-	is.Equal(started, 3*Window)
+	is.Equal(started, 3*MaxAnnounced)
 }
 
 // Guards against a cancelled request that still uses a slot, or gets one afterwards.
@@ -164,21 +169,21 @@
 	is := is.New(t)
 	p := newPair(1)
 	all := p.enqueue(3)
-	p.router.Cancel(all[1], p.now)
+	p.queues.Cancel(all[1], p.now)
 	p.deliverToOwner()
 	m := p.schedule()
-	p.router.Cancel(all[0], p.now) // crosses its grant
+	p.queues.Cancel(all[0], p.now) // crosses its grant
 	is.Equal(p.deliverToRouter(m), 0)
 	p.deliverToOwner()
 	is.Equal(p.deliverToRouter(p.schedule()), 1)
 	is.True(all[2].Started())
-	p.router.Cancel(all[2], p.now)
+	p.queues.Cancel(all[2], p.now)
 	p.deliverToOwner()
-	is.Equal(p.owner.Limits().Target("t").Used(), 0)
+	is.Equal(p.owner.Targets().Target("t").Used(), 0)
 	is.Equal(p.owner.Waiting(), 0)
-	is.Equal(p.owner.Fair().Get("w").Virtual(), 0.0) // no service was charged
-	it, _ := p.router.Enqueue(api.Demand{Pool: "p", Workspace: "w"}, 1000, p.now)
-	p.router.Cancel(it, p.now) // in the same message as its announcement
+	is.Equal(p.owner.Accounts().Get("w").Virtual(), 0.0) // no service was charged
+	req, _ := p.queues.Enqueue(api.Demand{Pool: "p", Workspace: "w"}, 1000, p.now)
+	p.queues.Cancel(req, p.now) // in the same message as its announcement
 	p.deliverToOwner()
 	is.Equal(p.owner.Waiting(), 0)
 }
@@ -187,17 +192,17 @@
 // and a request that waits beyond its deadline.
 func TestQueueLimitAndDeadline(t *testing.T) {
 	is := is.New(t)
-	r := NewRouter("p", 1)
+	e := NewEntryQueues("p", 1)
 	for i := range 3 {
-		it, retry := r.Enqueue(api.Demand{Workspace: "w", Deadline: time.Duration(i) * time.Second}, 2, 0)
-		is.Equal(it == nil, i == 2)
+		req, retry := e.Enqueue(api.Demand{Workspace: "w", Deadline: time.Duration(i) * time.Second}, 2, 0)
+		is.Equal(req == nil, i == 2)
 		is.Equal(retry > 0, i == 2)
 	}
-	is.Equal(len(r.Tick(999*ms)), 0)
-	is.Equal(len(r.Tick(time.Second)), 1)
-	is.Equal(r.Queued(), 1) // no deadline
-	is.Equal(len(r.RefuseAll(time.Second)), 1)
-	is.Equal(r.Queued(), 0)
+	is.Equal(len(e.Tick(999*ms)), 0)
+	is.Equal(len(e.Tick(time.Second)), 1)
+	is.Equal(e.Queued(), 1) // no deadline
+	is.Equal(len(e.RefuseAll(time.Second)), 1)
+	is.Equal(e.Queued(), 0)
 }
 
 // Guards against an owner that opens before every instance with a lease has
@@ -205,11 +210,11 @@
 func TestOwnerWaitsForReports(t *testing.T) {
 	is := is.New(t)
 	o := NewOwner("p", 1, map[string]string{"a": "x", "b": "x"}, 0)
-	o.Report("a", &ReportMsg{Head: Head{Epoch: 1, Inc: 1, Gen: 1}}, 0)
+	o.Report("a", &ReportMsg{Header: Header{Epoch: 1, Incarnation: 1, Generation: 1}}, 0)
 	o.Tick(5*time.Second, func(string) bool { return true })
 	is.True(!o.Open())
 	requested := map[string]bool{}
-	o.Flush(func(to string, m *GrantMsg) bool { requested[to] = m.Want; return true })
+	o.Flush(func(to string, m *GrantMsg) bool { requested[to] = m.WantReport; return true })
 	is.True(requested["b"]) // requested again
 	o.Tick(6*time.Second, func(name string) bool { return name != "b" })
 	is.True(o.Open())
@@ -220,12 +225,12 @@
 func TestOwnerStateBounded(t *testing.T) {
 	is := is.New(t)
 	p := newPair(1)
-	d := &DemandMsg{Head: Head{Epoch: 1, Inc: 7, Gen: 1, Seq: 1}}
+	d := &DemandMsg{Header: Header{Epoch: 1, Incarnation: 7, Generation: 1, Seq: 1}}
 	for i := range 100000 {
-		d.Added = append(d.Added, Add{N: uint64(i), Workspace: fmt.Sprint(i)})
+		d.Added = append(d.Added, Announcement{Number: uint64(i), Workspace: fmt.Sprint(i)})
 	}
 	p.owner.Demand("r", d, p.now)
-	is.Equal(p.owner.Waiting(), Window*spareWorkspaces)
+	is.Equal(p.owner.Waiting(), MaxAnnounced*spareWorkspaces)
 	p.owner.Demand("stranger", d, p.now)
 	is.Equal(len(p.owner.peers), 1)
 }
--- a/internal/schedule/rebuild.go
+++ b/internal/schedule/rebuild.go
@@ -11,7 +11,7 @@
 // request for a new report.
 func (o *Owner) Report(from string, m *ReportMsg, now time.Duration) {
 	p := o.peers[from]
-	if p == nil || m.Epoch > o.epoch || p.isRetired(m.Inc) {
+	if p == nil || m.Epoch > o.epoch || p.isRetired(m.Incarnation) {
 		o.Stats.Stale++
 		return
 	}
@@ -19,22 +19,22 @@
 		o.requestReport(p, now) // the instance has not learned of this owner yet
 		return
 	}
-	if p.reported && m.Inc == p.incarnation && m.Gen <= p.generation {
+	if p.reported && m.Incarnation == p.incarnation && m.Generation <= p.generation {
 		o.Stats.Stale++
 		return
 	}
 	o.Stats.Reports++
-	if p.reported && m.Inc != p.incarnation {
+	if p.reported && m.Incarnation != p.incarnation {
 		o.replaceIncarnation(p, now)
 	}
 	if p.lost {
-		o.note(Note{Step: "router back", Peer: p.name})
+		o.recordChange(Change{Step: "router back", Peer: p.name})
 	}
-	p.incarnation, p.generation, p.reported, p.inSync, p.lost = m.Inc, m.Gen, true, true, false
+	p.incarnation, p.generation, p.reported, p.inSync, p.lost = m.Incarnation, m.Generation, true, true, false
 	p.lastAckSent = 0
 	clear(p.targetRefs)
 	p.grantsSent, p.awaitedAck, p.pendingGrants, p.wantReport = 0, 0, p.pendingGrants[:0], false
-	o.recordReceipt(p, &m.Head, now)
+	o.recordReceipt(p, &m.Header, now)
 	o.applyOutcomes(p, m.Done, now)
 	o.reconcile(p, m, now)
 	o.recordTable(p, m)
@@ -44,11 +44,11 @@
 // replaceIncarnation handles an instance that restarted with empty memory. The work
 // of the earlier process may still run on the targets.
 func (o *Owner) replaceIncarnation(p *peer, now time.Duration) {
-	o.note(Note{Step: "router restarted", Peer: p.name})
+	o.recordChange(Change{Step: "router restarted", Peer: p.name})
 	o.dropWaiting(p)
 	for n, r := range p.requests {
 		o.targets.Orphan(&r.work, now)
-		o.accounts.Settle(r.queue.account, r.kind, r.estimate, 0, false)
+		o.accounts.Settle(r.queue.account, r.class, r.estimate, 0, false)
 		o.Stats.Lost++
 		delete(p.requests, n)
 	}
@@ -62,7 +62,7 @@
 			o.dequeue(r)
 			o.recycle(r)
 			if q.head == nil {
-				o.accounts.Suspend(q.account)
+				o.accounts.DeactivateKeepingCredit(q.account)
 			}
 		}
 	}
@@ -72,11 +72,11 @@
 func (o *Owner) reconcile(p *peer, m *ReportMsg, now time.Duration) {
 	running := make(map[uint64]bool, len(m.Running))
 	for i := range m.Running {
-		running[m.Running[i].N] = true
+		running[m.Running[i].Number] = true
 	}
 	waiting := make(map[uint64]bool, len(m.Waiting))
 	for i := range m.Waiting {
-		waiting[m.Waiting[i].N] = true
+		waiting[m.Waiting[i].Number] = true
 	}
 	var withdrawn []*request
 	for n, r := range p.requests {
@@ -109,14 +109,14 @@
 // outcome was lost.
 func (o *Owner) settleUnreported(r *request, now time.Duration) {
 	o.Stats.Lost++
-	o.accounts.Settle(r.queue.account, r.kind, r.estimate, 0, false)
-	o.targets.Discard(&r.work, now)
+	o.accounts.Settle(r.queue.account, r.class, r.estimate, 0, false)
+	o.targets.Remove(&r.work, now)
 	o.recycle(r)
 }
 
 // adoptRunning takes over running work from a report.
 func (o *Owner) adoptRunning(p *peer, x *Running, now time.Duration) {
-	r := p.requests[x.N]
+	r := p.requests[x.Number]
 	if r != nil && r.waiting {
 		o.dequeue(r) // granted by a former owner that had the same records
 		o.recycle(r)
@@ -132,8 +132,8 @@
 	if r == nil {
 		q := o.queueOf(x.Workspace)
 		r = o.newRequest()
-		*r = request{number: x.N, peer: p, queue: q, kind: fairness.Kind(x.Class), estimate: x.Estimate}
-		p.requests[x.N] = r
+		*r = request{number: x.Number, peer: p, queue: q, class: fairness.CostClassIndex(x.Class), estimate: x.Estimate}
+		p.requests[x.Number] = r
 		o.accounts.Adopt(q.account)
 	}
 	if t := o.targets.Target(x.Target); t != nil {
@@ -148,7 +148,7 @@
 	if o.open || m.Table.Epoch > o.epoch {
 		return
 	}
-	p.serviceSinceTable, p.tableEpoch, p.tableSeq = m.Since, m.Table.Epoch, m.Table.Seq
+	p.serviceSinceTable, p.tableEpoch, p.tableSeq = m.ServiceSinceTable, m.Table.Epoch, m.Table.Seq
 	if m.Table.Newer(&o.newestTable) {
 		o.newestTable = m.Table
 	}
@@ -157,7 +157,7 @@
 // rebuildAccounts loads the accounts from the newest copy of the virtual service
 // table in the reports and adds the service rendered since that copy was sent.
 func (o *Owner) rebuildAccounts() {
-	o.accounts.Load(o.newestTable.Virtual, o.newestTable.Rows)
+	o.accounts.Load(o.newestTable.VirtualTime, o.newestTable.Rows)
 	for _, p := range o.sortedPeers {
 		if p.tableEpoch == o.newestTable.Epoch && p.tableSeq == o.newestTable.Seq {
 			for _, u := range p.serviceSinceTable {
@@ -166,7 +166,7 @@
 		}
 		p.serviceSinceTable = nil
 	}
-	o.newestTable = ServiceMsg{}
+	o.newestTable = ServiceTableMsg{}
 }
 
 // tryOpen opens the owner once every instance has reported or holds no lease.
@@ -181,7 +181,7 @@
 	}
 	o.open = true
 	o.rebuildAccounts()
-	o.note(Note{Step: "open"})
+	o.recordChange(Change{Step: "open"})
 }
 
 // Tick detects silent instances, opens the owner once it can, and advances the
@@ -197,7 +197,7 @@
 	}
 	if now-o.lastForget >= time.Second {
 		o.lastForget = now
-		o.accounts.Forget()
+		o.accounts.RemoveIdle()
 	}
 }
 
@@ -252,6 +252,6 @@
 	}
 	p.lost, p.inSync = true, false
 	if p.reported || len(p.requests) > 0 {
-		o.note(Note{Step: "router lost", Peer: p.name})
+		o.recordChange(Change{Step: "router lost", Peer: p.name})
 	}
 }
--- a/internal/schedule/request.go
+++ b/internal/schedule/request.go
@@ -12,7 +12,7 @@
 	number uint64
 	peer   *peer
 	queue  *ownerQueue
-	kind   int
+	class  int
 	hint   float64 // expected cost in cost units; 0 = none
 	avoid  string  // target to avoid if another has room; "" = none
 
@@ -105,10 +105,10 @@
 
 func (p *peer) newGrant(r *request, target string) Grant {
 	if ref := p.targetRefs[target]; ref != 0 {
-		return Grant{N: r.number, Ref: ref, Estimate: r.estimate}
+		return Grant{Number: r.number, Ref: ref, Estimate: r.estimate}
 	}
 	p.targetRefs[target] = uint64(len(p.targetRefs) + 1)
-	return Grant{N: r.number, Target: target, Estimate: r.estimate}
+	return Grant{Number: r.number, Target: target, Estimate: r.estimate}
 }
 
 func (p *peer) isRetired(inc uint64) bool {
--- a/internal/schedule/router.go
+++ b/internal/schedule/router.go
@@ -38,42 +38,42 @@
 	maxUnackedOutcomes = 4096
 )
 
-// Item is one waiting or running request of an instance.
-type Item struct {
-	// N is the request's number on its instance, assigned when the request is
+// LocalRequest is one waiting or running request of an instance.
+type LocalRequest struct {
+	// Number is the request's number on its instance, assigned when the request is
 	// announced to the owner; 0 before.
-	N      uint64
+	Number uint64
 	Demand api.Demand
 	// Data is for the caller of Enqueue; the package does not use it.
 	Data any
 
-	state      itemState
+	state      requestState
 	target     string
 	estimate   float64 // cost units
 	confirmed  bool    // the target responded and was warm
 	queuedAt   time.Duration
 	startedAt  time.Duration
 	queue      *entryQueue
-	prev, next *Item
+	prev, next *LocalRequest
 }
 
-type itemState uint8
+type requestState uint8
 
 const (
-	stateUnannounced itemState = iota // waiting, not announced
-	stateAnnounced                    // waiting, announced to the owner
+	stateUnannounced requestState = iota // waiting, not announced
+	stateAnnounced                       // waiting, announced to the owner
 	stateRunning
 	stateEnded
 )
 
 // Waiting reports whether the request is queued and has no grant.
-func (it *Item) Waiting() bool { return it.state <= stateAnnounced }
+func (req *LocalRequest) Waiting() bool { return req.state <= stateAnnounced }
 
 // Started reports whether the request has a grant whose work has not ended.
-func (it *Item) Started() bool { return it.state == stateRunning }
+func (req *LocalRequest) Started() bool { return req.state == stateRunning }
 
-// Env provides the local state that a grant is checked against before use.
-type Env interface {
+// GrantChecker provides the local state that a grant is checked against before use.
+type GrantChecker interface {
 	// LeaseValid reports whether this instance may dispatch now.
 	LeaseValid() bool
 	// Address returns the address of a target. It returns false if the instance's
@@ -83,14 +83,14 @@
 
 // Granted is a request that may start now.
 type Granted struct {
-	Item *Item
+	Request *LocalRequest
 	api.Grant
 }
 
-// Router queues the requests of one instance for one pool, announces them to the
+// EntryQueues queues the requests of one instance for one pool, announces them to the
 // owner of the pool and starts them on the owner's grants. It is not safe for
 // concurrent use.
-type Router struct {
+type EntryQueues struct {
 	pool        string
 	incarnation uint64
 
@@ -102,9 +102,9 @@
 	grantsAcked    uint64 // value of grantsReceived in the last message
 	lastNumber     uint64 // number of the request announced last
 
-	items  map[uint64]*Item // announced and running, by number
-	queues map[string]*entryQueue
-	queued int // waiting requests
+	requests map[uint64]*LocalRequest // announced and running, by number
+	queues   map[string]*entryQueue
+	queued   int // waiting requests
 
 	pendingDemand     DemandMsg // changes not sent yet
 	sentDemand        DemandMsg // message returned by the last Flush
@@ -114,7 +114,7 @@
 	lastSentAt        time.Duration
 	lastActiveAt      time.Duration
 	earliestDeadline  time.Duration // of all waiting requests, 0 = none
-	serviceTable      ServiceMsg
+	serviceTable      ServiceTableMsg
 	serviceSinceTable map[string]float64 // cost units by workspace
 	targetNames       []string           // received in this generation
 	granted           []Granted          // buffer of OnGrant
@@ -123,323 +123,323 @@
 
 // unackedOutcome is an outcome that the owner has not acknowledged.
 type unackedOutcome struct {
-	Done
+	Completion
 	seq uint64 // number of the message that carries it; 0 = this generation's report
 }
 
-// NewRouter returns a router without requests and without an owner. The caller
+// NewEntryQueues returns empty queues without an owner. The caller
 // must choose an incarnation that differs from those of all other pools and all
 // earlier processes of the instance.
-func NewRouter(pool string, incarnation uint64) *Router {
-	return &Router{pool: pool, incarnation: incarnation, items: map[uint64]*Item{},
+func NewEntryQueues(pool string, incarnation uint64) *EntryQueues {
+	return &EntryQueues{pool: pool, incarnation: incarnation, requests: map[uint64]*LocalRequest{},
 		queues: map[string]*entryQueue{}, serviceSinceTable: map[string]float64{}}
 }
 
 // Queued returns the number of waiting requests.
-func (r *Router) Queued() int { return r.queued }
+func (e *EntryQueues) Queued() int { return e.queued }
 
 // Running returns the number of requests that have a grant and have not ended.
-func (r *Router) Running() int {
+func (e *EntryQueues) Running() int {
 	n := 0
-	for _, it := range r.items {
-		if it.state == stateRunning {
+	for _, req := range e.requests {
+		if req.state == stateRunning {
 			n++
 		}
 	}
 	return n
 }
 
-// Incarnation returns the number given to NewRouter.
-func (r *Router) Incarnation() uint64 { return r.incarnation }
+// Incarnation returns the number given to NewEntryQueues.
+func (e *EntryQueues) Incarnation() uint64 { return e.incarnation }
 
 // Owner returns the instance that owns the pool, as known here, and its epoch.
 // The name is empty if no owner is known.
-func (r *Router) Owner() (string, uint64) { return r.owner, r.epoch }
+func (e *EntryQueues) Owner() (string, uint64) { return e.owner, e.epoch }
 
 // SetOwner sets the owner of the pool, to which the next message is a full
 // report. It ignores an owner that is already set and those of earlier epochs.
-func (r *Router) SetOwner(owner string, epoch uint64) {
-	if epoch < r.epoch || (epoch == r.epoch && owner == r.owner) {
+func (e *EntryQueues) SetOwner(owner string, epoch uint64) {
+	if epoch < e.epoch || (epoch == e.epoch && owner == e.owner) {
 		return
 	}
-	r.owner, r.epoch = owner, epoch
-	r.unackedOutcomes = r.unackedOutcomes[:0] // a new owner has no record of them; serviceSinceTable holds their cost
-	r.requireReport()
+	e.owner, e.epoch = owner, epoch
+	e.unackedOutcomes = e.unackedOutcomes[:0] // a new owner has no record of them; serviceSinceTable holds their cost
+	e.requireReport()
 }
 
 // requireReport schedules a full report and drops the changes not sent yet, which
 // the report includes.
-func (r *Router) requireReport() {
-	r.reportDue = true
-	r.pendingDemand.clear()
+func (e *EntryQueues) requireReport() {
+	e.reportDue = true
+	e.pendingDemand.clear()
 }
 
-// Lost handles a message from Flush that could not be sent: the next message is a
+// MessageNotSent handles a message from Flush that could not be sent: the next message is a
 // full report.
-func (r *Router) Lost() { r.requireReport() }
+func (e *EntryQueues) MessageNotSent() { e.requireReport() }
 
 // sendsChanges reports whether changes are sent as increments rather than in the
 // next full report.
-func (r *Router) sendsChanges() bool { return r.owner != "" && !r.reportDue }
+func (e *EntryQueues) sendsChanges() bool { return e.owner != "" && !e.reportDue }
 
 // Enqueue adds a request to the queue of its workspace. If limit or more requests
 // of the workspace are waiting, it returns nil and the time after which the caller
 // should retry.
-func (r *Router) Enqueue(d api.Demand, limit int, now time.Duration) (*Item, time.Duration) {
-	q := r.queues[d.Workspace]
+func (e *EntryQueues) Enqueue(d api.Demand, limit int, now time.Duration) (*LocalRequest, time.Duration) {
+	q := e.queues[d.Workspace]
 	if q == nil {
 		q = &entryQueue{workspace: d.Workspace}
-		r.queues[d.Workspace] = q
+		e.queues[d.Workspace] = q
 	}
 	if q.waiting() >= limit {
 		return nil, q.retryAfter()
 	}
-	it := &Item{Demand: d, queuedAt: now, queue: q}
-	q.unannounced.pushBack(it)
-	r.queued++
-	r.lastActiveAt = now
-	if d.Deadline > 0 && (r.earliestDeadline == 0 || d.Deadline < r.earliestDeadline) {
-		r.earliestDeadline = d.Deadline
+	req := &LocalRequest{Demand: d, queuedAt: now, queue: q}
+	q.unannounced.pushBack(req)
+	e.queued++
+	e.lastActiveAt = now
+	if d.Deadline > 0 && (e.earliestDeadline == 0 || d.Deadline < e.earliestDeadline) {
+		e.earliestDeadline = d.Deadline
 	}
-	r.announce(q, now)
-	return it, 0
+	e.announce(q, now)
+	return req, 0
 }
 
-// announce announces requests of a workspace until Window of them are announced.
-func (r *Router) announce(q *entryQueue, now time.Duration) {
+// announce announces requests of a workspace until MaxAnnounced of them are announced.
+func (e *EntryQueues) announce(q *entryQueue, now time.Duration) {
 	if now < q.announceAfter {
 		return
 	}
-	for q.announced.length < Window && q.unannounced.head != nil {
-		it := q.unannounced.head
-		q.unannounced.remove(it)
-		r.lastNumber++
-		it.N, it.state = r.lastNumber, stateAnnounced
-		q.announced.pushBack(it)
-		r.items[it.N] = it
-		if r.sendsChanges() {
-			r.pendingDemand.Added = append(r.pendingDemand.Added, it.announcement())
+	for q.announced.length < MaxAnnounced && q.unannounced.head != nil {
+		req := q.unannounced.head
+		q.unannounced.remove(req)
+		e.lastNumber++
+		req.Number, req.state = e.lastNumber, stateAnnounced
+		q.announced.pushBack(req)
+		e.requests[req.Number] = req
+		if e.sendsChanges() {
+			e.pendingDemand.Added = append(e.pendingDemand.Added, req.announcement())
 		}
 	}
 }
 
-func (it *Item) announcement() Add {
-	return Add{it.N, it.Demand.Workspace, it.Demand.Class, it.Demand.Hint, it.Demand.Avoid}
+func (req *LocalRequest) announcement() Announcement {
+	return Announcement{req.Number, req.Demand.Workspace, req.Demand.Class, req.Demand.Hint, req.Demand.Avoid}
 }
 
 // Cancel removes a waiting request from the queue, or returns the grant of a
 // started one unused. It does nothing for a request that has ended.
-func (r *Router) Cancel(it *Item, now time.Duration) {
-	switch it.state {
+func (e *EntryQueues) Cancel(req *LocalRequest, now time.Duration) {
+	switch req.state {
 	case stateRunning:
-		r.Done(it, api.Outcome{Result: api.ResultNotStarted}, now)
+		e.Done(req, api.Outcome{Result: api.ResultNotStarted}, now)
 		return
 	case stateEnded:
 		return
 	}
-	r.removeWaiting(it, now)
-	it.state = stateEnded
-	r.announce(it.queue, now)
-	r.removeIfUnused(it.queue)
+	e.removeWaiting(req, now)
+	req.state = stateEnded
+	e.announce(req.queue, now)
+	e.removeIfUnused(req.queue)
 }
 
 // removeWaiting removes a waiting request from its queue and reports the
 // cancellation to the owner.
-func (r *Router) removeWaiting(it *Item, now time.Duration) {
-	r.queued--
-	r.lastActiveAt = now
-	if it.state == stateUnannounced {
-		it.queue.unannounced.remove(it)
+func (e *EntryQueues) removeWaiting(req *LocalRequest, now time.Duration) {
+	e.queued--
+	e.lastActiveAt = now
+	if req.state == stateUnannounced {
+		req.queue.unannounced.remove(req)
 		return
 	}
-	it.queue.announced.remove(it)
-	delete(r.items, it.N)
-	if r.sendsChanges() {
-		r.pendingDemand.Cancelled = append(r.pendingDemand.Cancelled, it.N)
+	req.queue.announced.remove(req)
+	delete(e.requests, req.Number)
+	if e.sendsChanges() {
+		e.pendingDemand.Cancelled = append(e.pendingDemand.Cancelled, req.Number)
 	}
 	// A grant may be in flight, and the cancellation may be lost.
-	r.retainOutcome(Done{it.N, api.Outcome{Result: api.ResultNotStarted}})
+	e.retainOutcome(Completion{req.Number, api.Outcome{Result: api.ResultNotStarted}})
 }
 
-func (r *Router) removeIfUnused(q *entryQueue) {
+func (e *EntryQueues) removeIfUnused(q *entryQueue) {
 	if q.waiting() == 0 && q.meanGrantInterval == 0 {
-		delete(r.queues, q.workspace)
+		delete(e.queues, q.workspace)
 	}
 }
 
 // Confirm reports the first byte of the response to the owner, with the target's
 // warmth and boot number. It does nothing if the request has not started or is
 // already confirmed as warm.
-func (r *Router) Confirm(it *Item, w api.Warmth, boot uint64, now time.Duration) {
-	if it.state != stateRunning || it.confirmed {
+func (e *EntryQueues) Confirm(req *LocalRequest, w api.Warmth, boot uint64, now time.Duration) {
+	if req.state != stateRunning || req.confirmed {
 		return
 	}
-	it.confirmed = w == api.WarmthWarm
-	r.lastActiveAt = now
-	if r.sendsChanges() {
-		r.pendingDemand.Confirmed = append(r.pendingDemand.Confirmed, Confirm{it.N, w, boot})
+	req.confirmed = w == api.WarmthWarm
+	e.lastActiveAt = now
+	if e.sendsChanges() {
+		e.pendingDemand.Confirmed = append(e.pendingDemand.Confirmed, Confirm{req.Number, w, boot})
 	}
 }
 
 // Done ends a started request and reports its outcome to the owner. It does
 // nothing if the request has not started.
-func (r *Router) Done(it *Item, o api.Outcome, now time.Duration) {
-	if it.state != stateRunning {
+func (e *EntryQueues) Done(req *LocalRequest, o api.Outcome, now time.Duration) {
+	if req.state != stateRunning {
 		return
 	}
-	it.state = stateEnded
-	delete(r.items, it.N)
+	req.state = stateEnded
+	delete(e.requests, req.Number)
 	if o.Result == api.ResultNotStarted {
-		r.addService(it, -it.estimate)
+		e.addService(req, -req.estimate)
 	} else if o.Cost > 0 {
-		r.addService(it, o.Cost-it.estimate)
+		e.addService(req, o.Cost-req.estimate)
 	}
-	r.recordOutcome(it.N, o, now)
+	e.recordOutcome(req.Number, o, now)
 }
 
-func (r *Router) recordOutcome(n uint64, o api.Outcome, now time.Duration) {
-	r.lastActiveAt = now
-	d := Done{n, o}
-	r.retainOutcome(d)
-	if r.sendsChanges() {
-		r.pendingDemand.Done = append(r.pendingDemand.Done, d)
+func (e *EntryQueues) recordOutcome(n uint64, o api.Outcome, now time.Duration) {
+	e.lastActiveAt = now
+	d := Completion{n, o}
+	e.retainOutcome(d)
+	if e.sendsChanges() {
+		e.pendingDemand.Done = append(e.pendingDemand.Done, d)
 	}
 }
 
 // retainOutcome keeps the outcome until the owner has acknowledged it, because a
 // lost outcome leaves an estimate in place of the true cost.
-func (r *Router) retainOutcome(d Done) {
-	if len(r.unackedOutcomes) == maxUnackedOutcomes {
-		r.unackedOutcomes = append(r.unackedOutcomes[:0], r.unackedOutcomes[maxUnackedOutcomes/2:]...)
+func (e *EntryQueues) retainOutcome(d Completion) {
+	if len(e.unackedOutcomes) == maxUnackedOutcomes {
+		e.unackedOutcomes = append(e.unackedOutcomes[:0], e.unackedOutcomes[maxUnackedOutcomes/2:]...)
 	}
-	r.unackedOutcomes = append(r.unackedOutcomes, unackedOutcome{d, r.seq + 1})
+	e.unackedOutcomes = append(e.unackedOutcomes, unackedOutcome{d, e.seq + 1})
 }
 
 // dropAcknowledged drops the outcomes that the owner has received in messages up
 // to seq.
-func (r *Router) dropAcknowledged(seq uint64) {
+func (e *EntryQueues) dropAcknowledged(seq uint64) {
 	n := 0
-	for n < len(r.unackedOutcomes) && r.unackedOutcomes[n].seq <= seq {
+	for n < len(e.unackedOutcomes) && e.unackedOutcomes[n].seq <= seq {
 		n++
 	}
 	if n > 0 {
-		r.unackedOutcomes = r.unackedOutcomes[:copy(r.unackedOutcomes, r.unackedOutcomes[n:])]
+		e.unackedOutcomes = e.unackedOutcomes[:copy(e.unackedOutcomes, e.unackedOutcomes[n:])]
 	}
 }
 
-// OnService handles a copy of the virtual service table and keeps the newest one.
-// The router retains the message; the caller must not change it afterwards.
-func (r *Router) OnService(m *ServiceMsg) {
-	if !m.Newer(&r.serviceTable) {
+// OnServiceTable handles a copy of the virtual service table and keeps the newest one.
+// The queues retain the message; the caller must not change it afterwards.
+func (e *EntryQueues) OnServiceTable(m *ServiceTableMsg) {
+	if !m.Newer(&e.serviceTable) {
 		return
 	}
-	r.fillLearnedMeans(m)
-	r.serviceTable = *m
-	clear(r.serviceSinceTable)
+	e.fillLearnedMeans(m)
+	e.serviceTable = *m
+	clear(e.serviceSinceTable)
 }
 
 // fillLearnedMeans copies the learned mean costs from the previous table, because
 // most copies omit them.
-func (r *Router) fillLearnedMeans(m *ServiceMsg) {
-	known := make(map[string]*fairness.Row, len(r.serviceTable.Rows))
-	for i := range r.serviceTable.Rows {
-		known[r.serviceTable.Rows[i].Workspace] = &r.serviceTable.Rows[i]
+func (e *EntryQueues) fillLearnedMeans(m *ServiceTableMsg) {
+	known := make(map[string]*fairness.Row, len(e.serviceTable.Rows))
+	for i := range e.serviceTable.Rows {
+		known[e.serviceTable.Rows[i].Workspace] = &e.serviceTable.Rows[i]
 	}
 	for i := range m.Rows {
-		if old := known[m.Rows[i].Workspace]; old != nil && m.Rows[i].Learned == [fairness.Kinds]float64{} {
-			m.Rows[i].Learned = old.Learned
+		if old := known[m.Rows[i].Workspace]; old != nil && m.Rows[i].MeanCosts == [fairness.NumCostClasses]float64{} {
+			m.Rows[i].MeanCosts = old.MeanCosts
 		}
 	}
 }
 
 // addService adds service, in cost units, that the table does not contain yet.
-func (r *Router) addService(it *Item, service float64) {
-	r.serviceSinceTable[it.Demand.Workspace] += service
+func (e *EntryQueues) addService(req *LocalRequest, service float64) {
+	e.serviceSinceTable[req.Demand.Workspace] += service
 }
 
 // OnGrant handles a message of the owner and returns the requests that may start.
 // Messages of earlier epochs are ignored; a later epoch replaces the owner. Grants
 // that must not be used are returned to the owner. The slice is valid until the
 // next call.
-func (r *Router) OnGrant(from string, m *GrantMsg, now time.Duration, env Env) []Granted {
-	r.granted = r.granted[:0]
-	if m.Epoch < r.epoch {
+func (e *EntryQueues) OnGrant(from string, m *GrantMsg, now time.Duration, env GrantChecker) []Granted {
+	e.granted = e.granted[:0]
+	if m.Epoch < e.epoch {
 		return nil
 	}
-	r.SetOwner(from, m.Epoch)
-	if m.Inc == r.incarnation && m.Gen == r.generation && !r.reportDue {
-		r.dropAcknowledged(m.Ack)
-		r.applyGrants(m, now, env)
+	e.SetOwner(from, m.Epoch)
+	if m.Incarnation == e.incarnation && m.Generation == e.generation && !e.reportDue {
+		e.dropAcknowledged(m.Ack)
+		e.applyGrants(m, now, env)
 	}
-	wantsNewer := m.Inc == r.incarnation && m.Gen >= r.generation
-	if m.Want && (wantsNewer || now-r.lastReportAt >= reportRequestDedupTime) {
-		r.requireReport()
+	wantsNewer := m.Incarnation == e.incarnation && m.Generation >= e.generation
+	if m.WantReport && (wantsNewer || now-e.lastReportAt >= reportRequestDedupTime) {
+		e.requireReport()
 	}
-	return r.granted
+	return e.granted
 }
 
-func (r *Router) applyGrants(m *GrantMsg, now time.Duration, env Env) {
-	if m.First > r.grantsReceived {
-		r.requireReport() // an earlier message was lost or overtaken by this one
+func (e *EntryQueues) applyGrants(m *GrantMsg, now time.Duration, env GrantChecker) {
+	if m.GrantsBefore > e.grantsReceived {
+		e.requireReport() // an earlier message was lost or overtaken by this one
 		return
 	}
-	if m.First+uint64(len(m.List)) <= r.grantsReceived {
+	if m.GrantsBefore+uint64(len(m.Grants)) <= e.grantsReceived {
 		return
 	}
-	newGrants := m.List[r.grantsReceived-m.First:]
-	r.grantsReceived += uint64(len(newGrants))
+	newGrants := m.Grants[e.grantsReceived-m.GrantsBefore:]
+	e.grantsReceived += uint64(len(newGrants))
 	clock := toMs(now)
 	clockFresh := m.Clock <= clock && clock-m.Clock <= toMs(maxEchoedClockAge)
 	for i := range newGrants {
-		if !r.resolveTarget(&newGrants[i]) {
-			r.requireReport()
+		if !e.resolveTarget(&newGrants[i]) {
+			e.requireReport()
 			return
 		}
-		r.applyGrant(&newGrants[i], clockFresh && env.LeaseValid(), now, env)
+		e.applyGrant(&newGrants[i], clockFresh && env.LeaseValid(), now, env)
 	}
 }
 
 // resolveTarget fills in the name of the target and returns false if the grant
 // refers to a name that was not received.
-func (r *Router) resolveTarget(g *Grant) bool {
+func (e *EntryQueues) resolveTarget(g *Grant) bool {
 	if g.Target != "" {
-		r.targetNames = append(r.targetNames, g.Target)
+		e.targetNames = append(e.targetNames, g.Target)
 		return true
 	}
-	if g.Ref == 0 || g.Ref > uint64(len(r.targetNames)) {
+	if g.Ref == 0 || g.Ref > uint64(len(e.targetNames)) {
 		return false
 	}
-	g.Target = r.targetNames[g.Ref-1]
+	g.Target = e.targetNames[g.Ref-1]
 	return true
 }
 
-func (r *Router) applyGrant(g *Grant, usable bool, now time.Duration, env Env) {
-	it := r.items[g.N]
-	if it == nil || it.state != stateAnnounced {
-		r.recordOutcome(g.N, api.Outcome{Result: api.ResultNotStarted}, now) // cancelled before the grant arrived
+func (e *EntryQueues) applyGrant(g *Grant, usable bool, now time.Duration, env GrantChecker) {
+	req := e.requests[g.Number]
+	if req == nil || req.state != stateAnnounced {
+		e.recordOutcome(g.Number, api.Outcome{Result: api.ResultNotStarted}, now) // cancelled before the grant arrived
 		return
 	}
 	address, ok := "", false
 	if usable {
-		address, ok = env.Address(r.pool, g.Target)
+		address, ok = env.Address(e.pool, g.Target)
 	}
-	q := it.queue
-	q.announced.remove(it)
+	q := req.queue
+	q.announced.remove(req)
 	if !ok {
-		delete(r.items, it.N)
-		r.recordOutcome(it.N, api.Outcome{Result: api.ResultNotStarted}, now)
-		it.state = stateUnannounced
-		q.unannounced.pushFront(it)
+		delete(e.requests, req.Number)
+		e.recordOutcome(req.Number, api.Outcome{Result: api.ResultNotStarted}, now)
+		req.state = stateUnannounced
+		q.unannounced.pushFront(req)
 		q.announceAfter = now + reannounceDelay
 		return
 	}
-	r.queued--
-	r.lastActiveAt = now
+	e.queued--
+	e.lastActiveAt = now
 	q.recordGrant(now)
-	it.state, it.target, it.estimate, it.startedAt = stateRunning, g.Target, g.Estimate, now
-	r.addService(it, g.Estimate)
-	r.granted = append(r.granted, Granted{it, api.Grant{Target: g.Target, Address: address, Epoch: r.epoch}})
-	r.announce(q, now)
+	req.state, req.target, req.estimate, req.startedAt = stateRunning, g.Target, g.Estimate, now
+	e.addService(req, g.Estimate)
+	e.granted = append(e.granted, Granted{req, api.Grant{Target: g.Target, Address: address, Epoch: e.epoch}})
+	e.announce(q, now)
 }
 
 func toMs(d time.Duration) uint64 { return uint64(max(0, d) / time.Millisecond) }
--- a/internal/schedule/sim_test.go
+++ b/internal/schedule/sim_test.go
@@ -71,7 +71,7 @@
 
 type simInstance struct {
 	*sim
-	router         *Router
+	queues         *EntryQueues
 	name           string
 	dataCentre     string
 	incarnation    uint64
@@ -83,7 +83,7 @@
 type simJob struct {
 	instance    *simInstance
 	incarnation uint64
-	item        *Item
+	request     *LocalRequest
 	workspace   string
 	cost        float64
 	queuedAt    time.Duration
@@ -114,7 +114,7 @@
 		dataCentresOut: map[string]bool{}, leaving: map[string]bool{}, sentBytes: map[string]int{}, grantedCost: map[string]float64{}, servedCost: map[string]float64{}, completions: map[string]int{}}
 	for i := range instances {
 		r := &simInstance{sim: s, name: fmt.Sprintf("r%d", i), dataCentre: fmt.Sprintf("dc%d", i%2), alive: true, incarnation: uint64(i + 500001)}
-		r.router = NewRouter(poolName, r.incarnation)
+		r.queues = NewEntryQueues(poolName, r.incarnation)
 		s.instances = append(s.instances, r)
 		s.every(20*ms, r.tick)
 	}
@@ -176,7 +176,7 @@
 	s.configure()
 	for _, r := range s.instances {
 		if r.alive {
-			r.router.SetOwner(at, s.epoch)
+			r.queues.SetOwner(at, s.epoch)
 		}
 	}
 	s.after(2*ms, s.poll)
@@ -186,12 +186,12 @@
 	var cs []limits.Config
 	for _, t := range s.targets {
 		cs = append(cs, limits.Config{Name: t.name, DataCentre: t.dataCentre, WarmCapacity: t.warmCapacity, ColdCapacity: t.coldCapacity,
-			EvidenceLife: 10 * time.Second, ReportLag: simReportLag, RequestLimit: 10 * time.Minute})
+			WarmthTTL: 10 * time.Second, ReportLag: simReportLag, RequestLimit: 10 * time.Minute})
 	}
 	s.owner.SetWeights(s.weights)
-	s.owner.Limits().Configure(cs, s.now)
-	s.owner.Limits().SetOut(s.dataCentresOut, s.now)
-	s.owner.Limits().SetLeaving(s.leaving, s.now)
+	s.owner.Targets().Configure(cs, s.now)
+	s.owner.Targets().SetOut(s.dataCentresOut, s.now)
+	s.owner.Targets().SetLeaving(s.leaving, s.now)
 }
 
 func (s *sim) mayHold(name string) bool {
@@ -208,18 +208,18 @@
 		return
 	}
 	s.owner.Tick(s.now, s.mayHold)
-	s.owner.Notes()
+	s.owner.Changes()
 	if s.now%time.Second == 0 {
-		m := &ServiceMsg{}
-		sent := s.owner.Service(m, false)
+		m := &ServiceTableMsg{}
+		sent := s.owner.ServiceTable(m, false)
 		for _, r := range s.instances {
 			if !sent {
 				break
 			}
 			s.deliver(s.ownerName, r.name, m, func(b []byte) {
-				var x ServiceMsg
+				var x ServiceTableMsg
 				s.check(x.UnmarshalJSON(b))
-				r.router.OnService(&x)
+				r.queues.OnServiceTable(&x)
 			})
 		}
 	}
@@ -277,12 +277,12 @@
 
 func (s *sim) pollTargets(want func(*limits.Target) bool) {
 	for _, t := range s.targets {
-		if s.owner == nil || !want(s.owner.Limits().Target(t.name)) {
+		if s.owner == nil || !want(s.owner.Targets().Target(t.name)) {
 			continue
 		}
 		lag := min(s.rng.IntN(int(simReportLag/(100*ms))), len(t.reports))
 		if s.owner != nil && lag > 0 {
-			s.owner.Limits().Report(t.name, t.reports[len(t.reports)-lag], s.now)
+			s.owner.Targets().Report(t.name, t.reports[len(t.reports)-lag], s.now)
 		}
 	}
 	s.grant()
@@ -296,7 +296,7 @@
 
 func (r *simInstance) tick() {
 	if r.alive {
-		r.router.Tick(r.now)
+		r.queues.Tick(r.now)
 		r.flush()
 	}
 }
@@ -315,8 +315,8 @@
 	if !r.alive {
 		return
 	}
-	to, epoch := r.router.Owner()
-	demand, report := r.router.Flush(r.now)
+	to, epoch := r.queues.Owner()
+	demand, report := r.queues.Flush(r.now)
 	if report != nil {
 		r.deliver(r.name, to, report, func(b []byte) {
 			var m ReportMsg
@@ -345,8 +345,8 @@
 	}
 	var m GrantMsg
 	r.check(m.UnmarshalJSON(b))
-	for _, g := range r.router.OnGrant(from, &m, r.now, r) {
-		j := g.Item.Data.(*simJob)
+	for _, g := range r.queues.OnGrant(from, &m, r.now, r) {
+		j := g.Request.Data.(*simJob)
 		t := r.byName[g.Target]
 		r.grantedCost[j.workspace] += j.cost
 		if r.onStart != nil {
@@ -360,11 +360,11 @@
 // enqueue adds a request of the given true cost. It returns nil if the queue is full.
 func (r *simInstance) enqueue(ws string, class api.CostClass, cost, hint float64) *simJob {
 	j := &simJob{instance: r, incarnation: r.incarnation, workspace: ws, cost: cost, queuedAt: r.now}
-	it, _ := r.router.Enqueue(api.Demand{Workspace: ws, Pool: poolName, Class: class, Hint: hint}, 256, r.now)
-	if it == nil {
+	req, _ := r.queues.Enqueue(api.Demand{Workspace: ws, Pool: poolName, Class: class, Hint: hint}, 256, r.now)
+	if req == nil {
 		return nil
 	}
-	it.Data, j.item = j, it
+	req.Data, j.request = j, req
 	r.flush()
 	return j
 }
@@ -374,9 +374,9 @@
 // restart starts a new process of the instance, with empty memory.
 func (r *simInstance) restart() {
 	r.incarnation += 100
-	r.router, r.alive = NewRouter(poolName, r.incarnation), true
+	r.queues, r.alive = NewEntryQueues(poolName, r.incarnation), true
 	if r.ownerName != "" {
-		r.router.SetOwner(r.ownerName, r.epoch)
+		r.queues.SetOwner(r.ownerName, r.epoch)
 	}
 }
 
@@ -398,11 +398,11 @@
 	if !r.alive || r.incarnation != j.incarnation {
 		return
 	}
-	if t := r.byName[j.item.target]; t != nil && t.jobs[j] {
+	if t := r.byName[j.request.target]; t != nil && t.jobs[j] {
 		delete(t.jobs, j)
-		r.router.Done(j.item, api.Outcome{Result: api.ResultCancelled}, r.now)
-	} else if j.item.Waiting() {
-		r.router.Cancel(j.item, r.now)
+		r.queues.Done(j.request, api.Outcome{Result: api.ResultCancelled}, r.now)
+	} else if j.request.Waiting() {
+		r.queues.Cancel(j.request, r.now)
 	}
 	r.flush()
 }
@@ -430,7 +430,7 @@
 	t.lastStartAt = t.now
 	t.checkCapacity()
 	w, boot := t.warmth(), t.boot
-	j.notifyInstance(func(r *simInstance) { r.router.Confirm(j.item, w, boot, r.now) })
+	j.notifyInstance(func(r *simInstance) { r.queues.Confirm(j.request, w, boot, r.now) })
 	t.after(time.Duration(j.cost/t.rate*float64(time.Second)), func() { t.end(j, w) })
 }
 
@@ -464,7 +464,7 @@
 	t.servedCost[j.workspace] += j.cost
 	boot := j.boot
 	j.notifyInstance(func(r *simInstance) {
-		r.router.Done(j.item, api.Outcome{Result: api.ResultOK, Cost: j.cost, Warmth: w, Boot: boot}, r.now)
+		r.queues.Done(j.request, api.Outcome{Result: api.ResultOK, Cost: j.cost, Warmth: w, Boot: boot}, r.now)
 		if r.onEnd != nil {
 			r.onEnd(j)
 		}
@@ -483,7 +483,7 @@
 		delete(t.jobs, j)
 		t.servedCost[j.workspace] += min(j.cost, (t.now-j.startedAt).Seconds()*t.rate)
 		j.notifyInstance(func(r *simInstance) {
-			r.router.Done(j.item, api.Outcome{Result: api.ResultFailed}, r.now)
+			r.queues.Done(j.request, api.Outcome{Result: api.ResultFailed}, r.now)
 			if r.onEnd != nil {
 				r.onEnd(j)
 			}
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -56,20 +56,20 @@
 	scanned   int // the bytes from lineStart to this offset contain no line feed
 	err       error
 
-	memory        *overload.Bytes // shared by all readers
-	reservedBytes int             // bytes reserved from memory; the initial buffer is not counted
-	fillerBytes   int             // bytes of blocks without data since the last event with data
+	memory        *overload.MemoryLimit // shared by all readers
+	reservedBytes int                   // bytes reserved from memory; the initial buffer is not counted
+	fillerBytes   int                   // bytes of blocks without data since the last event with data
 }
 
 // NewReader returns a reader of a stream. It reserves memory from m when its buffer grows
 // beyond 4 KiB; Release frees the memory.
-func NewReader(src io.Reader, m *overload.Bytes) *Reader {
+func NewReader(src io.Reader, m *overload.MemoryLimit) *Reader {
 	return &Reader{src: src, memory: m, buf: make([]byte, 0, initialBufferSize)}
 }
 
 // Release frees the memory. Next must not be called afterwards.
 func (r *Reader) Release() {
-	r.memory.Free(r.reservedBytes)
+	r.memory.Release(r.reservedBytes)
 	r.reservedBytes, r.buf = 0, nil
 }
 
@@ -135,7 +135,7 @@
 		r.start = 0
 	}
 	if len(r.buf) == cap(r.buf) {
-		if !r.memory.Take(cap(r.buf)) {
+		if !r.memory.Reserve(cap(r.buf)) {
 			return overload.ErrNoMemory
 		}
 		r.reservedBytes += cap(r.buf)
--- a/internal/sse/reader_test.go
+++ b/internal/sse/reader_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			memory := overload.NewBytes(3 * MaxEvent)
+			memory := overload.NewMemoryLimit(3 * MaxEvent)
 			r := NewReader(&repeatingReader{text: c.text}, memory)
 			var err error
 			for err == nil {
@@ -51,7 +51,7 @@
 			_, err = r.Next()
 			is.Equal(err, c.want) // the error is permanent
 			r.Release()
-			is.Equal(memory.Held(), int64(0))
+			is.Equal(memory.Reserved(), int64(0))
 		})
 	}
 }
@@ -61,7 +61,7 @@
 func TestCommentLimitRestartsAfterEvent(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat(strings.Repeat(": still here\n\n", 1000)+"data: e\n\n", 50)
-	r := NewReader(strings.NewReader(text), overload.NewBytes(MaxEvent))
+	r := NewReader(strings.NewReader(text), overload.NewMemoryLimit(MaxEvent))
 	events := 0
 	for {
 		e, err := r.Next()
@@ -80,7 +80,7 @@
 func TestReadersShareMemory(t *testing.T) {
 	is := is.New(t)
 	const limit = 1 << 20
-	memory := overload.NewBytes(limit)
+	memory := overload.NewMemoryLimit(limit)
 	var readers []*Reader
 	refused := 0
 	for range 200 {
@@ -90,13 +90,13 @@
 		if errors.Is(err, overload.ErrNoMemory) {
 			refused++
 		}
-		is.True(memory.Held() <= limit)
+		is.True(memory.Reserved() <= limit)
 	}
 	is.Equal(refused, 200)
 	for _, r := range readers {
 		r.Release()
 	}
-	is.Equal(memory.Held(), int64(0))
+	is.Equal(memory.Reserved(), int64(0))
 	r := NewReader(strings.NewReader("data: "+strings.Repeat("x", 100_000)+"\n\n"), memory)
 	_, err := r.Next()
 	is.NoErr(err) // released memory is available again
@@ -106,7 +106,7 @@
 func TestManyDataLines(t *testing.T) {
 	is := is.New(t)
 	const lines = 500_000
-	r := NewReader(strings.NewReader(strings.Repeat("data:x\n", lines)+"\n"), overload.NewBytes(3*MaxEvent))
+	r := NewReader(strings.NewReader(strings.Repeat("data:x\n", lines)+"\n"), overload.NewMemoryLimit(3*MaxEvent))
 	begin := time.Now()
 	e, err := r.Next()
 	is.NoErr(err)
--- a/internal/targetlist/list.go
+++ b/internal/targetlist/list.go
@@ -41,15 +41,14 @@
 	BornMs     int64  `json:"b,omitempty"` // start of the target's incarnation, Unix time in milliseconds; 0 = unknown
 }
 
-// Update is the changes of a list from the position Base to the position At, or the
-// full list at At.
+// Update is the changes of a list from Base to Position, or the full list at Position.
 type Update struct {
 	At   Position `json:"at"`
 	Base Position `json:"base"`
-	// Whole marks a full list, which replaces the receiver's list. Its Base is zero.
-	Whole   bool     `json:"w,omitempty"`
+	// Full marks a full list, which replaces the receiver's list. Its Base is zero.
+	Full    bool     `json:"w,omitempty"`
 	Entries []Entry  `json:"c,omitempty"` // added or changed targets
-	Gone    []string `json:"g,omitempty"` // IDs of removed targets
+	Removed []string `json:"g,omitempty"` // IDs of removed targets
 }
 
 // coldEndTolerance is the largest difference between two reported ends of a cold
@@ -73,7 +72,7 @@
 // appendHistory stores an update that led to the current position. A full or first
 // update clears the history.
 func (l *List) appendHistory(u Update) {
-	if u.Whole || u.Base == (Position{}) { // an empty list gets the full list from Since
+	if u.Full || u.Base == (Position{}) { // an empty list gets the full list from Since
 		l.history = nil
 		return
 	}
@@ -91,14 +90,14 @@
 	}
 	from := slices.IndexFunc(l.history, func(u Update) bool { return u.Base == p })
 	if from < 0 {
-		return l.Whole(now)
+		return l.FullUpdate(now)
 	}
 	changed := map[string]bool{} // by ID; false = removed
 	for _, u := range l.history[from:] {
 		for _, e := range u.Entries {
 			changed[e.ID] = true
 		}
-		for _, id := range u.Gone {
+		for _, id := range u.Removed {
 			changed[id] = false
 		}
 	}
@@ -107,25 +106,25 @@
 		if t, ok := l.targets[id]; ok {
 			out.Entries = append(out.Entries, toEntry(t, now))
 		} else {
-			out.Gone = append(out.Gone, id)
+			out.Removed = append(out.Removed, id)
 		}
 	}
 	return out
 }
 
-// At returns the current position.
-func (l *List) At() Position { return l.position }
+// Position returns the current position.
+func (l *List) Position() Position { return l.position }
 
 // Targets returns the targets sorted by ID.
 func (l *List) Targets() []api.Target {
 	return slices.SortedFunc(maps.Values(l.targets), func(a, b api.Target) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// Read replaces the list by a complete response of the platform, read in the given
+// Replace replaces the list by a complete response of the platform, read in the given
 // epoch, and returns the changes as an update for other instances. Of two entries
 // with the same ID the newer incarnation counts. If nothing changed, the update is
 // empty, and a new epoch alone advances the position.
-func (l *List) Read(epoch uint64, entries []api.DirectoryEntry, now time.Duration) Update {
+func (l *List) Replace(epoch uint64, entries []api.DirectoryEntry, now time.Duration) Update {
 	next := make(map[string]api.Target, len(entries))
 	for _, e := range entries {
 		t := fromEntry(e, now)
@@ -144,10 +143,10 @@
 	}
 	for id := range l.targets {
 		if _, ok := next[id]; !ok {
-			u.Gone = append(u.Gone, id)
+			u.Removed = append(u.Removed, id)
 		}
 	}
-	if epoch != l.position.Epoch || len(u.Entries)+len(u.Gone) > 0 {
+	if epoch != l.position.Epoch || len(u.Entries)+len(u.Removed) > 0 {
 		l.position = Position{epoch, l.position.Seq + 1}
 	}
 	l.targets, u.At = next, l.position
@@ -186,9 +185,9 @@
 	return a != b || coldShift > coldEndTolerance || coldShift < -coldEndTolerance
 }
 
-// Whole returns the full list as an update that replaces another instance's list.
-func (l *List) Whole(now time.Duration) Update {
-	u := Update{At: l.position, Whole: true}
+// FullUpdate returns the full list as an update that replaces another instance's list.
+func (l *List) FullUpdate(now time.Duration) Update {
+	u := Update{At: l.position, Full: true}
 	for _, t := range l.Targets() {
 		u.Entries = append(u.Entries, toEntry(t, now))
 	}
@@ -197,17 +196,17 @@
 
 // Apply applies an update received from another instance. It ignores an update that
 // is not newer than the list. missing reports that earlier updates are missing: the
-// update was not applied, and the caller must fetch the changes since At or the full
+// update was not applied, and the caller must fetch the changes since Position or the full
 // list. changed reports that the update was applied.
 func (l *List) Apply(u Update, now time.Duration) (changed, missing bool) {
 	if !l.position.Less(u.At) {
 		return false, false
 	}
-	if !u.Whole && u.Base != l.position {
+	if !u.Full && u.Base != l.position {
 		return false, true
 	}
 	next := map[string]api.Target{}
-	if !u.Whole {
+	if !u.Full {
 		maps.Copy(next, l.targets)
 	}
 	for _, e := range u.Entries {
@@ -216,7 +215,7 @@
 			Leaving: e.Leaving, BornMs: e.BornMs, ColdFor: time.Duration(e.ColdMs) * time.Millisecond,
 		}, now)
 	}
-	for _, id := range u.Gone {
+	for _, id := range u.Removed {
 		delete(next, id)
 	}
 	l.targets, l.position = next, u.At
--- a/internal/targetlist/list_test.go
+++ b/internal/targetlist/list_test.go
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	var reader, follower List
 	read := func(now time.Duration, entries ...api.DirectoryEntry) Update {
-		u := reader.Read(1, entries, now)
+		u := reader.Replace(1, entries, now)
 		follower.Apply(u, now)
 		is.Equal(follower.Targets(), reader.Targets())
 		return u
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	for _, entries := range [][]api.DirectoryEntry{{entry("a", 1), entry("a", 2)}, {entry("a", 2), entry("a", 1)}} {
 		var l List
-		l.Read(1, entries, 0)
+		l.Replace(1, entries, 0)
 		is.Equal(len(l.Targets()), 1)
 		is.Equal(l.Targets()[0].BornMs, int64(2))
 	}
@@ -77,21 +77,21 @@
 					entries = append(entries, e)
 				}
 			}
-			sent = append(sent, l.Read(epoch, entries, now))
+			sent = append(sent, l.Replace(epoch, entries, now))
 			for range rapid.IntRange(0, 3).Draw(t, "delivered") {
 				u := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")]
-				before := follower.At()
+				before := follower.Position()
 				_, missing := follower.Apply(u, now)
 				if missing {
-					follower.Apply(l.Whole(now), now)
+					follower.Apply(l.FullUpdate(now), now)
 				}
-				if follower.At().Less(before) {
+				if follower.Position().Less(before) {
 					t.Fatal("the position decreased")
 				}
 			}
-			follower.Apply(l.Whole(now), now)
-			if follower.At() != l.At() || fmt.Sprint(follower.Targets()) != fmt.Sprint(l.Targets()) {
-				t.Fatalf("%v %v, want %v %v", follower.At(), follower.Targets(), l.At(), l.Targets())
+			follower.Apply(l.FullUpdate(now), now)
+			if follower.Position() != l.Position() || fmt.Sprint(follower.Targets()) != fmt.Sprint(l.Targets()) {
+				t.Fatalf("%v %v, want %v %v", follower.Position(), follower.Targets(), l.Position(), l.Targets())
 			}
 		}
 	})
@@ -111,18 +111,18 @@
 				entries = append(entries, api.DirectoryEntry{ID: fmt.Sprint("t", i), Service: "s", Leaving: rapid.Bool().Draw(t, "leaving"),
 					BornMs: rapid.Int64Range(0, 1).Draw(t, "born")})
 			}
-			u := reader.Read(1+uint64(now/(4*time.Second)), entries, now)
+			u := reader.Replace(1+uint64(now/(4*time.Second)), entries, now)
 			if rapid.IntRange(0, 3).Draw(t, "missed") > 0 {
 				missedUpdates++
 				continue
 			}
 			if _, missing := follower.Apply(u, now); missing {
-				s := reader.Since(follower.At(), now)
+				s := reader.Since(follower.Position(), now)
 				if _, missing = follower.Apply(s, now); missing {
-					t.Fatalf("update since %v has base %v", follower.At(), s.Base)
+					t.Fatalf("update since %v has base %v", follower.Position(), s.Base)
 				}
 			}
-			if follower.At() == reader.At() && !slices.Equal(follower.Targets(), reader.Targets()) {
+			if follower.Position() == reader.Position() && !slices.Equal(follower.Targets(), reader.Targets()) {
 				t.Fatalf("after %d missed updates: %v, want %v", missedUpdates, follower.Targets(), reader.Targets())
 			}
 		}
--- a/plugin/control/discovered_test.go
+++ b/plugin/control/discovered_test.go
@@ -89,7 +89,7 @@
 				return false
 			}
 		}
-		return c.running(l).control.replica.node.Commit() == c.running(l).control.replica.node.Last()
+		return c.running(l).control.replica.node.CommitIndex() == c.running(l).control.replica.node.LastIndex()
 	})
 }
 
--- a/plugin/control/fault_test.go
+++ b/plugin/control/fault_test.go
@@ -208,7 +208,7 @@
 // countReplicasInGroup counts the replicas that have received the log of a group.
 func (c *cluster) countReplicasInGroup() (n int) {
 	for _, name := range c.names {
-		if !c.running(name).control.replica.node.Empty() {
+		if !c.running(name).control.replica.node.HasNoLog() {
 			n++
 		}
 	}
--- a/plugin/control/members.go
+++ b/plugin/control/members.go
@@ -33,14 +33,14 @@
 
 // probe describes the replica. One with a failed disk does not count as empty.
 func (r *replica) probe() probeReply {
-	return probeReply{Identity: r.id, Empty: r.node.Empty() && !r.diskFailed}
+	return probeReply{Identity: r.id, Empty: r.node.HasNoLog() && !r.diskFailed}
 }
 
 // joinGroup bootstraps a group or requests to join the existing one if the replica is
 // empty or has had no leader for rejoinTicks. It does nothing otherwise.
 func (c *Control) joinGroup(ctx context.Context) {
 	res := c.runOnReplica(ctx, func(r *replica, done func(callResult)) {
-		done(callResult{probe: r.probe(), silentTicks: r.node.SilentTicks(), diskFailed: r.diskFailed})
+		done(callResult{probe: r.probe(), silentTicks: r.node.TicksSinceLeader(), diskFailed: r.diskFailed})
 	})
 	self := res.probe
 	if res.err != nil || res.diskFailed || (!self.Empty && res.silentTicks < c.timing().rejoinTicks) {
@@ -118,11 +118,11 @@
 // bootstrap writes the first snapshot, with the given voters, to an empty disk and
 // starts the node from it. It does nothing if the replica is not empty.
 func (r *replica) bootstrap(voters []consensus.Member) error {
-	if !r.node.Empty() {
+	if !r.node.HasNoLog() {
 		return nil
 	}
 	s := consensus.Bootstrap(consensus.Membership{Voters: voters}, nil)
-	hard := r.node.Hard()
+	hard := r.node.HardState()
 	hard.Term = max(hard.Term, s.Term)
 	if err := r.log.SaveSnapshot(s, hard, nil); err != nil {
 		return err
@@ -187,7 +187,7 @@
 // maxLearnerLag entries, has the leader's snapshot and responds.
 func (r *replica) caughtUp(l consensus.Member) bool {
 	match, silent, ok := r.node.Progress(l.ID)
-	return ok && match+maxLearnerLag >= r.node.Last() && match >= r.node.SnapshotIndex() &&
+	return ok && match+maxLearnerLag >= r.node.LastIndex() && match >= r.node.SnapshotIndex() &&
 		silent <= uint64(r.c.timing().electionTicks)
 }
 
--- a/plugin/control/propose.go
+++ b/plugin/control/propose.go
@@ -78,7 +78,7 @@
 // pending proposal. For a new change it completes done without a result on the leader,
 // and with errRetry elsewhere.
 func (r *replica) findChange(id string, done func(callResult)) {
-	if stored, ok := r.state.Change(id); ok {
+	if stored, ok := r.state.ChangeResult(id); ok {
 		done(callResult{result: fleetstate.Result{Submit: &stored}})
 		return
 	}
@@ -107,7 +107,7 @@
 // transferLeadership starts or continues a transfer of leadership to another voter.
 // The result reports whether the replica still leads and a voter can take over.
 func (r *replica) transferLeadership() callResult {
-	transferring := r.node.Role() == consensus.Leader && r.node.Transfer()
+	transferring := r.node.Role() == consensus.Leader && r.node.TransferLeadership()
 	return callResult{transferring: transferring}
 }
 
@@ -120,7 +120,7 @@
 	if r.ticks%moveIntervalTicks != 0 {
 		return
 	}
-	for _, step := range r.state.Due(r.c.wallClock().UnixMilli()) {
+	for _, step := range r.state.DueMoveSteps(r.c.wallClock().UnixMilli()) {
 		r.propose(fleetstate.Command{ID: r.c.ids.next(), Move: &step}, func(res callResult) { r.recordMove(step, res) })
 	}
 }
--- a/plugin/control/replica.go
+++ b/plugin/control/replica.go
@@ -122,7 +122,7 @@
 func (r *replica) nodeConfig() consensus.Config {
 	return consensus.Config{
 		ID: r.id, ElectionTicks: r.c.timing().electionTicks,
-		FirstTicks: r.c.timing().firstElectionTicks, HeartbeatTicks: r.c.timing().heartbeatTicks,
+		InitialElectionTicks: r.c.timing().firstElectionTicks, HeartbeatTicks: r.c.timing().heartbeatTicks,
 		MaxAppendBytes: maxAppendBytes, ChunkBytes: snapshotChunkBytes, Random: rand.IntN,
 	}
 }
@@ -169,9 +169,9 @@
 
 // persist syncs the snapshot, hard state and entries of rd to disk.
 func (r *replica) persist(rd consensus.Ready) error {
-	hard := r.node.Hard()
-	if rd.Hard != nil {
-		hard = *rd.Hard
+	hard := r.node.HardState()
+	if rd.HardState != nil {
+		hard = *rd.HardState
 	}
 	if rd.Snapshot != nil {
 		r.c.metrics.syncs.Inc()
@@ -179,11 +179,11 @@
 			return err
 		}
 	}
-	if rd.Hard == nil && len(rd.Entries) == 0 {
+	if rd.HardState == nil && len(rd.Entries) == 0 {
 		return nil
 	}
 	r.c.metrics.syncs.Inc()
-	return r.log.Save(rd.Hard, rd.Entries)
+	return r.log.Save(rd.HardState, rd.Entries)
 }
 
 // sendMessages sends messages to the instances of their receivers. A receiver that is
@@ -279,7 +279,7 @@
 	if !ok {
 		return errors.Errorf("control: cannot take a snapshot at entry %d", r.applied)
 	}
-	if err := r.log.SaveSnapshot(s, r.node.Hard(), r.node.Entries(s.Index)); err != nil {
+	if err := r.log.SaveSnapshot(s, r.node.HardState(), r.node.Entries(s.Index)); err != nil {
 		return err
 	}
 	r.node.Compact(s.Index, data, r.retainBytes)
@@ -365,7 +365,7 @@
 	m := r.node.Members()
 	s := &api.ControlStatus{
 		Replica: r.id, Role: roleName(r), Leader: r.instanceOf(r.node.Leader()),
-		Term: r.node.Term(), Commit: r.node.Commit(),
+		Term: r.node.Term(), Commit: r.node.CommitIndex(),
 	}
 	for _, v := range m.Voters {
 		s.Voters = append(s.Voters, v.Instance)
--- a/plugin/directory/directory_test.go
+++ b/plugin/directory/directory_test.go
@@ -256,7 +256,7 @@
 	at := func() targetlist.Position {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
-		return leader.list.At()
+		return leader.list.Position()
 	}
 	raw, err := json.Marshal(first)
 	is.NoErr(err)
--- a/plugin/directory/read.go
+++ b/plugin/directory/read.go
@@ -64,8 +64,8 @@
 	now := d.kernel.Clock.Now()
 	d.refreshedAt.Store(int64(now))
 	d.mu.Lock()
-	previous := d.list.At()
-	u := d.list.Read(term, entries, now)
+	previous := d.list.Position()
+	u := d.list.Replace(term, entries, now)
 	changed := u.At != previous
 	var listeners []func()
 	if changed || !d.Known() {
@@ -153,7 +153,7 @@
 	peers := d.mesh.Peers()
 	d.updatesSent.Add(len(peers))
 	var err error
-	if len(u.Entries)+len(u.Gone) > maxPlainChanges {
+	if len(u.Entries)+len(u.Removed) > maxPlainChanges {
 		var packed []byte
 		if packed, err = pack(u); err == nil {
 			err = d.mesh.NotifyAll(peers, packedMethod, packed)
@@ -189,7 +189,7 @@
 		return
 	}
 	d.mu.Lock()
-	at := d.list.At()
+	at := d.list.Position()
 	d.mu.Unlock()
 	d.updatesSent.Inc()
 	if err := d.mesh.Notify(c.Peer, updateMethod, targetlist.Update{At: at, Base: at}); err != nil {
@@ -238,7 +238,7 @@
 	now := d.kernel.Clock.Now()
 	d.mu.Lock()
 	changed, missing := d.list.Apply(u, now)
-	if d.list.At() == u.At {
+	if d.list.Position() == u.At {
 		d.refreshedAt.Store(int64(now))
 	}
 	var listeners []func()
@@ -270,7 +270,7 @@
 // requestUpdate requests the changes since the local position from a peer.
 func (d *Directory) requestUpdate(ctx context.Context, from string) (u targetlist.Update, err error) {
 	d.mu.Lock()
-	known := d.list.At()
+	known := d.list.Position()
 	d.mu.Unlock()
 	var packed []byte
 	if err = d.mesh.Call(ctx, from, fetchMethod, known, &packed); err != nil {
@@ -297,12 +297,12 @@
 	now := d.kernel.Clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if a := &d.cachedResponse; a.packed == nil || a.since != since || a.at != d.list.At() || now-a.createdAt > fetchResponseTTL {
+	if a := &d.cachedResponse; a.packed == nil || a.since != since || a.at != d.list.Position() || now-a.createdAt > fetchResponseTTL {
 		packed, err := pack(d.list.Since(since, now))
 		if err != nil {
 			return nil, errors.WithMessage(err, fetchMethod)
 		}
-		*a = fetchResponse{since: since, at: d.list.At(), createdAt: now, packed: packed}
+		*a = fetchResponse{since: since, at: d.list.Position(), createdAt: now, packed: packed}
 	}
 	return d.cachedResponse.packed, nil
 }
--- a/plugin/directory/setup.go
+++ b/plugin/directory/setup.go
@@ -164,8 +164,8 @@
 
 // logChange logs the changes of an update and its source, a peer or "platform".
 func (d *Directory) logChange(u targetlist.Update, from string) {
-	if len(u.Entries)+len(u.Gone) > maxLoggedChanges {
-		logqueue.Notice(d.log, "targets known", "step", "directory", "targets", len(u.Entries), "gone", len(u.Gone), "whole", u.Whole,
+	if len(u.Entries)+len(u.Removed) > maxLoggedChanges {
+		logqueue.Notice(d.log, "targets known", "step", "directory", "targets", len(u.Entries), "gone", len(u.Removed), "whole", u.Full,
 			"epoch", u.At.Epoch, "seq", u.At.Seq, "from", from)
 		return
 	}
@@ -173,7 +173,7 @@
 		logqueue.Notice(d.log, "target known", "step", "directory", "target", e.ID, "service", e.Service, "address", e.Address,
 			"data_centre", e.DataCentre, "leaving", e.Leaving, "cold_ms", e.ColdMs, "epoch", u.At.Epoch, "seq", u.At.Seq, "from", from)
 	}
-	for _, id := range u.Gone {
+	for _, id := range u.Removed {
 		logqueue.Notice(d.log, "target gone", "step", "directory", "target", id, "epoch", u.At.Epoch, "seq", u.At.Seq, "from", from)
 	}
 }
--- a/plugin/dispatch/events_test.go
+++ b/plugin/dispatch/events_test.go
@@ -18,7 +18,7 @@
 )
 
 func readEvents(r io.Reader) (raw []byte, all []sse.Event, err error) {
-	er := sse.NewReader(r, overload.NewBytes(maxEventMemory))
+	er := sse.NewReader(r, overload.NewMemoryLimit(maxEventMemory))
 	for {
 		e, err := er.Next()
 		if err != nil {
--- a/plugin/dispatch/setup.go
+++ b/plugin/dispatch/setup.go
@@ -48,7 +48,7 @@
 	health *healthTracker
 	index  atomic.Pointer[index]
 	// eventMemory bounds the memory of the events that are being read.
-	eventMemory *overload.Bytes
+	eventMemory *overload.MemoryLimit
 
 	idPrefix   string        // makes request ids unique across restarts
 	lastSerial atomic.Uint64 // number of ids assigned since the start
@@ -74,7 +74,7 @@
 	}
 	d.log, d.clock, d.events = c.Log, c.Clock, c.Events
 	d.stats = newStats(c.Metrics)
-	d.eventMemory = overload.NewBytes(maxEventMemory)
+	d.eventMemory = overload.NewMemoryLimit(maxEventMemory)
 	d.conns, d.health = targetconn.NewPool(targetconn.Options{}), newHealthTracker()
 	d.fleet.OnChange(d.health.removeMissing)
 	var boot [6]byte
--- a/plugin/entry/budget.go
+++ b/plugin/entry/budget.go
@@ -17,11 +17,11 @@
 // releases it, or a refusal if the budget is used up. A body is kept until its response
 // has ended, because a retry or a resumption sends it again.
 func (s *Server) reserveBody(size int) (release func(), refusal *api.Refusal) {
-	if !s.bodies.Take(size) {
+	if !s.bodies.Reserve(size) {
 		r := newRefusal(fasthttp.StatusServiceUnavailable, codeBodiesFull,
 			"the bodies of waiting requests exceed "+strconv.FormatInt(s.bodies.Limit(), 10)+" bytes")
 		r.RetryAfter = time.Second
 		return nil, r
 	}
-	return func() { s.bodies.Free(size) }, nil
+	return func() { s.bodies.Release(size) }, nil
 }
--- a/plugin/entry/entry_test.go
+++ b/plugin/entry/entry_test.go
@@ -219,7 +219,7 @@
 func TestBodyBudget(t *testing.T) {
 	is := is.New(t)
 	s := newServer(t, &fakeDispatcher{})
-	s.bodies = overload.NewBytes(3)
+	s.bodies = overload.NewMemoryLimit(3)
 	post := "POST /v1/pools/svc/x HTTP/1.1\r\n" + auth + "Content-Length: "
 	for range 3 {
 		resp, _ := roundTrip(t, s, post+"2\r\n\r\nhi")
@@ -228,7 +228,7 @@
 	resp, _ := roundTrip(t, s, post+"4\r\n\r\nhigh")
 	is.Equal(resp.StatusCode, 503)
 	is.Equal(resp.Header.Get("X-Run")+resp.Header.Get("Retry-After"), "not-run1")
-	is.Equal(s.bodies.Held(), int64(0))
+	is.Equal(s.bodies.Reserved(), int64(0))
 }
 
 // Guards against requests that are wrongly classified as idempotent or non-idempotent.
--- a/plugin/entry/setup.go
+++ b/plugin/entry/setup.go
@@ -51,7 +51,7 @@
 	events       *kernel.Events
 	stats        *stats
 	routes       atomic.Pointer[routes]
-	bodies       *overload.Bytes
+	bodies       *overload.MemoryLimit
 
 	http     *fasthttp.Server
 	listener *callerconn.Listener
@@ -72,9 +72,9 @@
 	s.instance, s.listen = c.Settings.Instance, c.Settings.Listen
 	s.stopGrace, s.maxBodyBytes = c.Settings.StopGrace(), c.Settings.MaxBodyBytes()
 	s.log, s.events = c.Log, c.Events
-	s.stats, s.bodies = newStats(c.Metrics), overload.NewBytes(bodyBudgetFactor*int64(s.maxBodyBytes))
+	s.stats, s.bodies = newStats(c.Metrics), overload.NewMemoryLimit(bodyBudgetFactor*int64(s.maxBodyBytes))
 	s.conns = callerconn.NewTracker(s.stats.sentBytes, nil)
-	c.Metrics.NewGauge("nutmeg_entry_body_bytes", func() float64 { return float64(s.bodies.Held()) })
+	c.Metrics.NewGauge("nutmeg_entry_body_bytes", func() float64 { return float64(s.bodies.Reserved()) })
 	c.Metrics.NewGauge("nutmeg_entry_connections", func() float64 { open, _ := s.conns.Count(); return float64(open) })
 	c.Metrics.NewGauge("nutmeg_entry_busy_connections", func() float64 { _, busy := s.conns.Count(); return float64(busy) })
 	s.http = s.newHTTPServer()
--- a/plugin/forward/call.go
+++ b/plugin/forward/call.go
@@ -91,7 +91,7 @@
 // Forward implements api.Forwarder.
 func (f *Forwarder) Forward(ctx context.Context, r *api.ForwardRequest) (api.ForwardAnswer, error) {
 	c := &call{fwd: f, req: r, ctx: ctx, log: f.log.With("request", r.ID)}
-	f.retryBudget.Request(r.Service, f.clock.Now())
+	f.retryBudget.CountRequest(r.Service, f.clock.Now())
 	return c.run()
 }
 
@@ -181,9 +181,9 @@
 		return ""
 	case c.sendCount >= c.req.Route.MaxAttempts:
 		return "no attempt left on the route"
-	case !failure.notRun && !c.req.Route.Repeatable():
+	case !failure.notRun && !c.req.Route.Retryable():
 		return "the request may have run and the route allows no retry"
-	case !c.fwd.retryBudget.Repeat(c.req.Service, c.fwd.clock.Now()):
+	case !c.fwd.retryBudget.AllowRetry(c.req.Service, c.fwd.clock.Now()):
 		c.fwd.stats.retriesOverBudget.Inc()
 		return "the retry budget is used up"
 	}
@@ -249,9 +249,9 @@
 	if sendFailure == nil {
 		return exch, nil
 	}
-	if isStaleConnection(sendFailure) && a.call.req.Route.Repeatable() &&
+	if isStaleConnection(sendFailure) && a.call.req.Route.Retryable() &&
 		a.call.ctx.Err() == nil &&
-		a.call.fwd.retryBudget.Repeat(a.call.req.Service, a.call.fwd.clock.Now()) {
+		a.call.fwd.retryBudget.AllowRetry(a.call.req.Service, a.call.fwd.clock.Now()) {
 		if conn, failure = a.connect(true); failure != nil {
 			return nil, failure
 		}
@@ -275,7 +275,7 @@
 	f, address := a.call.fwd, a.placement.Target().Address
 	if !fresh {
 		limit := defaultIdleLimit
-		if !a.call.req.Route.Repeatable() {
+		if !a.call.req.Route.Retryable() {
 			limit = maxIdleBeforeNonRetryable
 		}
 		if conn := f.conns.TakeFresh(address, limit); conn != nil {
@@ -397,7 +397,7 @@
 	case status < fasthttp.StatusOK || (status < fasthttp.StatusMultipleChoices && !fields.Signed):
 		return nil, a.fail(&attemptFailure{outcome: api.WorkBroken, step: "head",
 			cause: errors.Errorf("status %d, response is not signed", status)})
-	case statusImpliesNotRun(status) && !a.call.req.Route.Repeatable():
+	case statusImpliesNotRun(status) && !a.call.req.Route.Retryable():
 		return nil, a.fail(&attemptFailure{outcome: api.WorkFailed, step: "head",
 			cause: errors.Errorf("status %d, but the request may have run", status)})
 	case isStream(a.call.req.Route, &a.exchange.Resp.Header):
--- a/plugin/forward/plain.go
+++ b/plugin/forward/plain.go
@@ -46,7 +46,7 @@
 	}
 	a.call.mayHaveRun = true
 	p.finish(api.WorkFailed)
-	if !a.call.req.Route.Repeatable() {
+	if !a.call.req.Route.Retryable() {
 		return p, nil
 	}
 	return nil, &attemptFailure{outcome: api.WorkFailed, step: "body", response: p}
--- a/plugin/forward/setup.go
+++ b/plugin/forward/setup.go
@@ -39,7 +39,7 @@
 	conns          *targetconn.Pool
 	retryBudget    *retrybudget.Budget
 	outputLengths  *outputEstimator
-	responseMemory *overload.Bytes // memory of buffered responses and of events
+	responseMemory *overload.MemoryLimit // memory of buffered responses and of events
 	stats          *stats
 }
 
@@ -76,8 +76,8 @@
 	}
 	f.clock, f.log = c.Clock, c.Log.With("plugin", "forward")
 	f.stats, f.outputLengths = newStats(c.Metrics), newOutputEstimator()
-	f.responseMemory = overload.NewBytes(int64(responseMemoryShare * c.Settings.Routes.MemoryMB * (1 << 20)))
-	c.Metrics.NewGauge("nutmeg_forward_answer_bytes", func() float64 { return float64(f.responseMemory.Held()) })
+	f.responseMemory = overload.NewMemoryLimit(int64(responseMemoryShare * c.Settings.Routes.MemoryMB * (1 << 20)))
+	c.Metrics.NewGauge("nutmeg_forward_answer_bytes", func() float64 { return float64(f.responseMemory.Reserved()) })
 	f.retryBudget = newRetryBudget(c.Settings.Routes.Bounds)
 	f.updateRetryBudget()
 	f.conns = targetconn.NewPool(targetconn.Options{
--- a/plugin/gateway/callers_test.go
+++ b/plugin/gateway/callers_test.go
@@ -244,7 +244,7 @@
 		write(c, fullResponse(200, attemptID(r), "ok"))
 	})
 	r := newRig(t, x).configure(1)
-	r.gateway.memory = overload.NewBytes(5 * (requestOverheadBytes + 100))
+	r.gateway.memory = overload.NewMemoryLimit(5 * (requestOverheadBytes + 100))
 	var first []*caller
 	for i := range 5 {
 		c := r.dial()
--- a/plugin/gateway/handler.go
+++ b/plugin/gateway/handler.go
@@ -58,7 +58,7 @@
 	release := func() {
 		stopWatch()
 		cancel()
-		g.memory.Free(len(r.Body) + requestOverheadBytes)
+		g.memory.Release(len(r.Body) + requestOverheadBytes)
 	}
 	g.forward(ctx, workCtx, r, release)
 	g.closeIfDrainingOrCrowded(ctx)
--- a/plugin/gateway/load.go
+++ b/plugin/gateway/load.go
@@ -30,7 +30,7 @@
 // processor time for it, or nil.
 func (l *loadGate) allow(workspace string) *api.Refusal {
 	l.mu.Lock()
-	ok, rate, delay := l.gate.Allow(workspace), l.gate.Rate(), l.gate.Late()
+	ok, rate, delay := l.gate.Allow(workspace), l.gate.Rate(), l.gate.MeanDelay()
 	l.mu.Unlock()
 	if ok {
 		return nil
@@ -56,7 +56,7 @@
 }
 
 // state returns the state of the gate. l.mu must be held.
-func (l *loadGate) state() loadState { return loadState{l.gate.Bounded(), l.gate.Shedding()} }
+func (l *loadGate) state() loadState { return loadState{l.gate.RateLimited(), l.gate.Shedding()} }
 
 // shedding reports whether requests were shed recently, so that new connections should
 // go to other instances.
@@ -71,7 +71,7 @@
 func (l *loadGate) schedulingDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.gate.Late()
+	return l.gate.MeanDelay()
 }
 
 // watchLoad feeds the gate with the time between ticks, from which it derives how long
@@ -114,7 +114,7 @@
 // refusal if the limit is reached, or nil. The memory is held until the response has
 // ended, because another attempt sends the body again.
 func (g *Gateway) reserveMemory(bodyBytes int) *api.Refusal {
-	if g.memory.Take(bodyBytes + requestOverheadBytes) {
+	if g.memory.Reserve(bodyBytes + requestOverheadBytes) {
 		return nil
 	}
 	r := newRefusal(fasthttp.StatusServiceUnavailable, codeMemoryFull, "the requests under way take all memory for requests")
--- a/plugin/gateway/setup.go
+++ b/plugin/gateway/setup.go
@@ -76,7 +76,7 @@
 
 	table           atomic.Pointer[routing.Table]
 	waitEstimator   waitEstimator
-	memory          *overload.Bytes
+	memory          *overload.MemoryLimit
 	load            *loadGate
 	http            *fasthttp.Server
 	listener        *callerconn.Listener
@@ -103,7 +103,7 @@
 	g.kernel, g.clock, g.log = c, c.Clock, c.Log.With("plugin", "gateway")
 	g.stats = newStats(c.Metrics)
 	memory := c.Settings.Routes.MemoryMB * (1 << 20)
-	g.memory = overload.NewBytes(int64(requestMemoryShare * memory))
+	g.memory = overload.NewMemoryLimit(int64(requestMemoryShare * memory))
 	g.load = newLoadGate()
 	g.conns = callerconn.NewTracker(g.stats.sentBytes, &callerconn.Limits{Idle: g.idleLimit, Head: g.headerReadLimit, Whole: g.requestReadLimit})
 	g.conns.SetMost(int(min(callerSocketShare*float64(c.Settings.Routes.MaxSockets()), idleMemoryShare*memory/idleConnBytes)))
--- a/plugin/lease/fault_test.go
+++ b/plugin/lease/fault_test.go
@@ -86,7 +86,7 @@
 
 // Guards against instances that lose their leases, or the heartbeats of each other,
 // because the link between two of them is cut.
-func TestRelayedBeats(t *testing.T) {
+func TestRelayedHeartbeats(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.awaitLeases()
@@ -140,7 +140,7 @@
 	in := c.start("i1")
 	c.await("link", func() bool { return in.mesh.Reachable("i3") })
 	is.True(!in.keeper.isWitness())
-	time.Sleep(lease.RestartTime + lease.BeatInterval)
+	time.Sleep(lease.RestartAbstention + lease.HeartbeatInterval)
 	is.True(!in.keeper.isWitness()) // its view is behind the confirmed revision
 	in.fleet.Install(view(9))
 	c.await("witness", in.keeper.isWitness)
--- a/plugin/lease/heartbeat.go
+++ b/plugin/lease/heartbeat.go
@@ -29,8 +29,8 @@
 	now := k.clock.Now()
 	input(k.node, now)
 	urgent := k.node.Tick(now)
-	behind := len(k.node.Ahead()) > 0
-	k.leaseEnd.Store(int64(k.node.Until()))
+	behind := len(k.node.PeersAhead()) > 0
+	k.leaseEnd.Store(int64(k.node.LeaseEnd()))
 	listeners := k.recordChanges(now)
 	k.mu.Unlock()
 	if urgent {
@@ -49,11 +49,11 @@
 // must be held.
 func (k *Keeper) recordChanges(now time.Duration) []func() {
 	changed := false
-	if w := k.node.Witness(now); w != k.reportedWitness {
+	if w := k.node.IsWitness(now); w != k.reportedWitness {
 		k.reportedWitness = w
 		k.events.Record(kernel.Event{Kind: "witness", Step: "join", Revision: k.fleet.View().Revision})
 	}
-	if v := k.node.Valid(now); v != k.reportedValid {
+	if v := k.node.LeaseValid(now); v != k.reportedValid {
 		k.reportedValid, changed = v, true
 		k.recordValidity(v)
 	}
@@ -126,47 +126,47 @@
 // It must not delay the next one by more than an interval: otherwise a few urgent
 // heartbeats in a row would let the lease expire.
 func nextHeartbeat(due, now time.Duration) time.Duration {
-	return min(max(due+lease.BeatInterval, now+lease.BeatInterval/2), now+lease.BeatInterval)
+	return min(max(due+lease.HeartbeatInterval, now+lease.HeartbeatInterval/2), now+lease.HeartbeatInterval)
 }
 
 // sendHeartbeat sends a heartbeat to all peers without waiting for the replies.
 func (k *Keeper) sendHeartbeat(ctx context.Context) {
-	var b lease.Beat
+	var h lease.Heartbeat
 	stamp := k.events.Now()
-	k.update(func(n *lease.Node, now time.Duration) { b = n.Beat(now) })
-	b.StampMs, b.StampCount = stamp.UnixMs, stamp.Count
-	b.Unreached = k.links.Unreached()
+	k.update(func(n *lease.Node, now time.Duration) { h = n.NextHeartbeat(now) })
+	h.StampMs, h.StampCount = stamp.UnixMs, stamp.Count
+	h.Unreached = k.links.Unreached()
 	k.heartbeats.Inc()
 	for _, peer := range k.mesh.Peers() {
-		k.heartbeatCalls.Go(func() { k.callHeartbeat(ctx, peer, b) })
+		k.heartbeatCalls.Go(func() { k.callHeartbeat(ctx, peer, h) })
 	}
 }
 
 // callHeartbeat sends a heartbeat to one peer and passes the reply to the node.
-func (k *Keeper) callHeartbeat(ctx context.Context, peer string, b lease.Beat) {
+func (k *Keeper) callHeartbeat(ctx context.Context, peer string, h lease.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply lease.Reply
-	if err := k.mesh.Call(ctx, peer, heartbeatMethod, b, &reply); err != nil {
+	if err := k.mesh.Call(ctx, peer, heartbeatMethod, h, &reply); err != nil {
 		k.heartbeatsUnanswered.Inc()
 		return
 	}
-	reply.Seq = b.Seq
-	k.update(func(n *lease.Node, now time.Duration) { n.OnReply(now, peer, reply) })
+	reply.Seq = h.Seq
+	k.update(func(n *lease.Node, now time.Duration) { n.HandleReply(now, peer, reply) })
 }
 
 // handleHeartbeat processes a peer's heartbeat and returns this witness's reply.
 func (k *Keeper) handleHeartbeat(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var b lease.Beat
-	if err := json.Unmarshal(params, &b); err != nil {
+	var h lease.Heartbeat
+	if err := json.Unmarshal(params, &h); err != nil {
 		return nil, err
 	}
-	k.events.Observe(kernel.Stamp{UnixMs: b.StampMs, Count: b.StampCount})
-	k.links.Report(from, b.Unreached)
+	k.events.Observe(kernel.Stamp{UnixMs: h.StampMs, Count: h.StampCount})
+	k.links.Report(from, h.Unreached)
 	var reply lease.Reply
 	k.update(func(n *lease.Node, now time.Duration) {
-		reply = n.OnBeat(now, from, b)
-		for _, r := range b.Requests {
+		reply = n.HandleHeartbeat(now, from, h)
+		for _, r := range h.Requests {
 			k.watchPools(r.Pool)
 		}
 	})
--- a/plugin/lease/heartbeat_test.go
+++ b/plugin/lease/heartbeat_test.go
@@ -16,9 +16,9 @@
 	next, now := time.Duration(0), 10*time.Second
 	for range 20 {
 		next = nextHeartbeat(next, now)
-		is.True(next > now && next <= now+lease.BeatInterval)
+		is.True(next > now && next <= now+lease.HeartbeatInterval)
 		now += time.Millisecond // urgent heartbeats in a row
 	}
 	next = nextHeartbeat(time.Second, time.Minute) // overdue by 59 s
-	is.Equal(next, time.Minute+lease.BeatInterval/2)
+	is.Equal(next, time.Minute+lease.HeartbeatInterval/2)
 }
--- a/plugin/lease/setup.go
+++ b/plugin/lease/setup.go
@@ -161,7 +161,7 @@
 func (k *Keeper) Revision(peer string) uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.node.Revision(k.clock.Now(), peer)
+	return k.node.PeerRevision(k.clock.Now(), peer)
 }
 
 // SetPools implements api.Lease. It sets the pools whose ownership this instance
--- a/plugin/lease/view.go
+++ b/plugin/lease/view.go
@@ -66,7 +66,7 @@
 // newer view. It returns false if there are such peers and all of them failed.
 func (k *Keeper) fetchNewest(ctx context.Context) bool {
 	k.mu.Lock()
-	peers := k.node.Ahead()
+	peers := k.node.PeersAhead()
 	k.mu.Unlock()
 	for _, peer := range peers {
 		if err := k.fetchFrom(ctx, peer); err != nil {
@@ -110,7 +110,7 @@
 		if k.isWitness() {
 			return nil
 		}
-		if k.clock.Now() >= k.startedAt+lease.RestartTime { // reads that start earlier do not count
+		if k.clock.Now() >= k.startedAt+lease.RestartAbstention { // reads that start earlier do not count
 			k.confirm(ctx)
 		}
 	}
@@ -121,7 +121,7 @@
 func (k *Keeper) isWitness() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.node.Witness(k.clock.Now())
+	return k.node.IsWitness(k.clock.Now())
 }
 
 // confirm reads the newest revision from the control quorum and passes it to the node.
@@ -134,5 +134,5 @@
 		k.log.Debug("read of the newest revision failed", "step", "confirm", "error", err)
 		return
 	}
-	k.update(func(n *lease.Node, now time.Duration) { n.Confirm(now, readStart, revision) })
+	k.update(func(n *lease.Node, now time.Duration) { n.ConfirmRevision(now, readStart, revision) })
 }
--- a/plugin/orders/send.go
+++ b/plugin/orders/send.go
@@ -24,11 +24,11 @@
 func (o *Orders) send(pool string, state *poolState, order planner.Order) {
 	now := o.kernel.Clock.Now()
 	if o.inFlight >= maxInFlight {
-		state.planner.Done(now, order, planner.Failed)
+		state.planner.RecordOutcome(now, order, planner.Failed)
 		return
 	}
 	if epoch, holds := o.lease.Holds(pool); !holds || epoch != state.epoch {
-		state.planner.Done(now, order, planner.Failed)
+		state.planner.RecordOutcome(now, order, planner.Failed)
 		return
 	}
 	o.inFlight++
@@ -36,14 +36,14 @@
 	out := outcome{pool: pool, epoch: state.epoch, order: order}
 	fence := state.token
 	go func() {
-		out.verdict = o.post(order, fence)
+		out.outcome = o.post(order, fence)
 		o.outcomes.Push(out)
 	}()
 }
 
-// post sends an order and waits for the response. Status 2xx is Accepted, 409 is Stale;
+// post sends an order and waits for the response. Status 2xx is Accepted, 409 is TokenOutdated;
 // any other status or error is Failed.
-func (o *Orders) post(order planner.Order, fence uint64) planner.Verdict {
+func (o *Orders) post(order planner.Order, fence uint64) planner.Outcome {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -59,7 +59,7 @@
 	case code >= 200 && code < 300:
 		return planner.Accepted
 	case code == fasthttp.StatusConflict:
-		return planner.Stale
+		return planner.TokenOutdated
 	}
 	return planner.Failed
 }
@@ -79,11 +79,11 @@
 		state.tokenRequested = false
 		if out.token > state.token {
 			state.token = out.token
-			state.planner.Renewed()
+			state.planner.TokenRenewed()
 		}
 		return
 	}
-	state.planner.Done(o.kernel.Clock.Now(), out.order, out.verdict)
+	state.planner.RecordOutcome(o.kernel.Clock.Now(), out.order, out.outcome)
 	o.recordOutcome(out, state.token)
 }
 
@@ -92,11 +92,11 @@
 	event := kernel.Event{
 		Kind: "order", Step: string(out.order.Kind), Pool: out.pool, Target: out.order.Target.Name, Epoch: token,
 	}
-	switch out.verdict {
+	switch out.outcome {
 	case planner.Failed:
 		o.failed.Inc()
 		event.Detail = "failed"
-	case planner.Stale:
+	case planner.TokenOutdated:
 		o.stale.Inc()
 		event.Detail = "refused: stale fencing token"
 	}
--- a/plugin/orders/setup.go
+++ b/plugin/orders/setup.go
@@ -67,7 +67,7 @@
 	pool        string
 	epoch       uint64 // ownership epoch at the time of sending
 	order       planner.Order
-	verdict     planner.Verdict
+	outcome     planner.Outcome
 	token       uint64
 	tokenFailed bool
 }
@@ -133,7 +133,7 @@
 			continue
 		}
 		state := o.stateFor(pool, epoch, view.Config.LoadInterval())
-		if state.token == 0 || state.planner.Stale() {
+		if state.token == 0 || state.planner.HasOutdatedToken() {
 			o.requestToken(ctx, pool.Name, state)
 			continue
 		}
--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -246,7 +246,7 @@
 		return
 	}
 	o.state.SetView(placement.View{
-		Services: o.table.Services, Targets: o.directory.Targets(), Out: v.Out, TokensPerSecond: o.table.TokensPerSecond,
+		Services: o.table.Services, Targets: o.directory.Targets(), OutOfService: v.Out, TokensPerSecond: o.table.TokensPerSecond,
 	}, o.clock.Now())
 }
 
@@ -273,7 +273,7 @@
 		}
 		o.inbox.Push(func() {
 			if o.term != 0 {
-				o.state.Forget(c.Peer)
+				o.state.RemoveEntry(c.Peer)
 			}
 		})
 	})
@@ -299,24 +299,24 @@
 	}
 	now := o.clock.Now()
 	if u.Whole {
-		o.state.Forget(from)
+		o.state.RemoveEntry(from)
 	}
 	for i := range u.Running {
 		r := &u.Running[i]
-		o.state.Running(placement.Key{Entry: from, Number: r.Number}, r.Ask.Ask(u.DataCentre), r.Target, r.Began, time.Duration(r.AgoMs)*time.Millisecond, now)
+		o.state.AddRunning(placement.Key{Entry: from, Number: r.Number}, r.Ask.Ask(u.DataCentre), r.Target, r.Began, time.Duration(r.AgoMs)*time.Millisecond, now)
 	}
 	for _, n := range u.Began {
-		o.state.Began(placement.Key{Entry: from, Number: n}, now)
+		o.state.RecordFirstEvent(placement.Key{Entry: from, Number: n}, now)
 	}
 	for _, e := range u.Ends {
 		o.state.End(placement.Key{Entry: from, Number: e.Number}, e.Outcome, now)
 	}
 	for workspace, tokens := range u.TurnedAway {
-		o.state.TurnedAway(workspace, tokens, now)
+		o.state.CountShed(workspace, tokens, now)
 	}
 	for workspace, requests := range u.Refused {
 		for _, r := range requests {
-			o.state.Refused(workspace, r.Tokens(), r.Own(), r.Objective(), now)
+			o.state.CountThrottled(workspace, r.Tokens(), r.Own(), r.Objective(), now)
 		}
 	}
 	if o.unconfirmed {
@@ -326,7 +326,7 @@
 	}
 	for i := range u.Asks {
 		a := &u.Asks[i]
-		o.state.Ask(placement.Key{Entry: from, Number: a.Number}, a.Ask(u.DataCentre), now)
+		o.state.Submit(placement.Key{Entry: from, Number: a.Number}, a.Ask(u.DataCentre), now)
 	}
 }
 
@@ -363,7 +363,7 @@
 	}
 	if now-o.lastHeartbeat >= heartbeatInterval && !o.unconfirmed {
 		o.lastHeartbeat = now
-		for _, entry := range o.state.Entries() {
+		for _, entry := range o.state.WaitingEntries() {
 			to(entry)
 		}
 	}
--- a/plugin/placer/local.go
+++ b/plugin/placer/local.go
@@ -26,11 +26,11 @@
 func (p *Placer) placeLocal(w *api.Work) (*assignment, error) {
 	now := p.clock.Now()
 	q := placement.Query{
-		Service: w.Service, Targets: p.directory.Targets(), Out: p.fleet.View().Out,
+		Service: w.Service, Targets: p.directory.Targets(), OutOfService: p.fleet.View().Out,
 		Tried: w.Tried, Now: now, Random: rand.Float64(),
 	}
 	if w.Engine != nil {
-		q.Home, q.MostRunning = affinityPart(w.Prompt), p.maxRunning(w.Engine.Slots)
+		q.AffinityPart, q.MaxRunning = affinityPart(w.Prompt), p.maxRunning(w.Engine.Slots)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/plugin/placer/remote.go
+++ b/plugin/placer/remote.go
@@ -95,7 +95,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if !p.throttle.Holds(w.Workspace, placewire.OwnPart(w.Prompt), now) {
+	if !p.throttle.Refuses(w.Workspace, placewire.OwnPart(w.Prompt), now) {
 		return nil
 	}
 	p.throttled.Inc()
@@ -104,7 +104,7 @@
 	}
 	p.pending.Refused[w.Workspace] = append(p.pending.Refused[w.Workspace], placewire.NewRefused(w, now)) // sent with the next message
 	return &api.Refusal{
-		Code: placement.CodeShare, Status: 503, Run: api.NotRun, Step: "place", RetryAfter: p.throttle.Advice(w.Workspace),
+		Code: placement.CodeShareExceeded, Status: 503, Run: api.NotRun, Step: "place", RetryAfter: p.throttle.RetryAfter(w.Workspace),
 		Message: "the workspace exceeds its share",
 		Inputs:  []any{"by", "entry", "passes", p.throttle.Share(w.Workspace), "term", p.owner.term},
 	}
@@ -400,7 +400,7 @@
 		wt.response <- ownerResponse{askAgain: true}
 		return
 	}
-	p.throttle.Tell(wt.work.Workspace, g.Pass(), p.clock.Now())
+	p.throttle.SetShare(wt.work.Workspace, g.Pass(), p.clock.Now())
 	g.Term = p.owner.term
 	wt.response <- ownerResponse{grant: g}
 }
--- a/plugin/placer/setup.go
+++ b/plugin/placer/setup.go
@@ -41,7 +41,7 @@
 
 	mu            sync.Mutex
 	local         *placement.Local
-	throttle      *placement.Flood
+	throttle      *placement.Throttle
 	owner         ownerState
 	lastNumber    uint64                 // number of the newest model request
 	waiting       map[uint64]*waiter     // model requests without the owner's response, by number
@@ -80,7 +80,7 @@
 		return err
 	}
 	p.clock, p.log, p.dataCentre = c.Clock, c.Log.With("plugin", "placer"), c.Settings.DataCentre
-	p.local, p.throttle = placement.NewLocal(p.dataCentre), placement.NewFlood()
+	p.local, p.throttle = placement.NewLocal(p.dataCentre), placement.NewThrottle()
 	p.waiting, p.running, p.sendSignal = map[uint64]*waiter{}, map[uint64]*assignment{}, make(chan struct{}, 1)
 	p.watchSignal, p.instant = make(chan struct{}, 1), kernel.Now
 	p.ownerGrants = c.Metrics.NewCounter("nutmeg_placer_owner_grants_total")
@@ -111,7 +111,7 @@
 func (p *Placer) targetsChanged() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.local.Keep(p.directory.Targets())
+	p.local.Retain(p.directory.Targets())
 }
 
 // Errors of an assignment whose target must not be used any more.
--- a/plugin/pool/messages.go
+++ b/plugin/pool/messages.go
@@ -16,46 +16,46 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refreshView()
-	r := c.routerOf(m)
-	if r == nil {
+	e := c.receiverOf(m)
+	if e == nil {
 		return
 	}
-	for _, g := range r.OnGrant(from, m, c.now(), c) {
-		t := g.Item.Data.(*ticket)
+	for _, g := range e.OnGrant(from, m, c.now(), c) {
+		t := g.Request.Data.(*ticket)
 		c.leaveQueue(t)
-		c.metricsOf(g.Item.Demand.Pool).granted.Inc()
+		c.metricsOf(g.Request.Demand.Pool).granted.Inc()
 		t.granted <- g.Grant
 	}
 	c.signalFlush()
 }
 
-// routerOf returns the queue that a message is for: by incarnation, else by pool. It returns
+// receiverOf returns the queues that a message is for: by incarnation, else by pool. It returns
 // nil if the pool is not configured.
-func (c *Client) routerOf(m *schedule.GrantMsg) *schedule.Router {
-	if r := c.byIncarnation[m.Inc]; r != nil {
-		return r
+func (c *Client) receiverOf(m *schedule.GrantMsg) *schedule.EntryQueues {
+	if e := c.byIncarnation[m.Incarnation]; e != nil {
+		return e
 	}
 	if !c.view.pools[m.Pool] {
 		return nil
 	}
-	return c.router(m.Pool)
+	return c.queuesOf(m.Pool)
 }
 
 // Service implements schedule.Client: it stores a copy of the virtual service table.
-func (c *Client) Service(_ string, m *schedule.ServiceMsg) {
+func (c *Client) Service(_ string, m *schedule.ServiceTableMsg) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r := c.routers[m.Pool]; r != nil {
+	if e := c.entryQueues[m.Pool]; e != nil {
 		copied := *m
 		copied.Rows = slices.Clone(m.Rows)
-		r.OnService(&copied)
+		e.OnServiceTable(&copied)
 	}
 }
 
-// LeaseValid implements schedule.Env.
+// LeaseValid implements schedule.GrantChecker.
 func (c *Client) LeaseValid() bool { return c.lease.Valid() }
 
-// Address implements schedule.Env. It reports false for a target that is not in the pool or
+// Address implements schedule.GrantChecker. It reports false for a target that is not in the pool or
 // whose data centre is out of service.
 func (c *Client) Address(pool, target string) (string, bool) {
 	t, ok := c.view.targets[target]
@@ -88,10 +88,10 @@
 	if wait := minFlushInterval - (now - c.flushedAt); wait > 0 && c.anyPending(now) {
 		return wait
 	}
-	for pool, r := range c.routers {
-		if r.Pending(now) {
+	for pool, e := range c.entryQueues {
+		if e.Pending(now) {
 			c.flushedAt = now
-			c.sendRouter(pool, r, now)
+			c.sendQueues(pool, e, now)
 		}
 	}
 	return 0
@@ -99,8 +99,8 @@
 
 // anyPending reports whether a message of any pool is due.
 func (c *Client) anyPending(now time.Duration) bool {
-	for _, r := range c.routers {
-		if r.Pending(now) {
+	for _, e := range c.entryQueues {
+		if e.Pending(now) {
 			return true
 		}
 	}
@@ -108,12 +108,12 @@
 }
 
 // sendRouter sends the message of one pool that is due to the owner of the pool.
-func (c *Client) sendRouter(pool string, r *schedule.Router, now time.Duration) {
-	demand, report := r.Flush(now)
-	owner, _ := r.Owner()
+func (c *Client) sendQueues(pool string, e *schedule.EntryQueues, now time.Duration) {
+	demand, report := e.Flush(now)
+	owner, _ := e.Owner()
 	if owner == c.mesh.Self() {
 		if !c.deliverLocal(demand, report) {
-			r.Lost()
+			e.MessageNotSent()
 		}
 		return
 	}
@@ -133,7 +133,7 @@
 	}
 	if err != nil {
 		c.metricsOf(pool).lost.Inc()
-		r.Lost()
+		e.MessageNotSent()
 	}
 }
 
@@ -143,7 +143,7 @@
 	if report != nil {
 		m := *report
 		m.Waiting, m.Running, m.Done = slices.Clone(m.Waiting), slices.Clone(m.Running), slices.Clone(m.Done)
-		m.Since = slices.Clone(m.Since)
+		m.ServiceSinceTable = slices.Clone(m.ServiceSinceTable)
 		return c.localOwner.Report(&m)
 	}
 	m := *demand
--- a/plugin/pool/queue.go
+++ b/plugin/pool/queue.go
@@ -35,16 +35,16 @@
 	if r := c.admissionRefusal(d.Admitted, now); r != nil {
 		return nil, c.refuse(d.Pool, r)
 	}
-	it, retry := c.router(d.Pool).Enqueue(d, limit, now)
-	if it == nil {
+	req, retry := c.queuesOf(d.Pool).Enqueue(d, limit, now)
+	if req == nil {
 		return nil, c.refuse(d.Pool, refusal("queue_full", "too many requests of the workspace wait", http.StatusTooManyRequests, retry))
 	}
 	if c.queued == 0 {
 		kernel.Signal(c.tickSignal)
 	}
 	c.queued++
-	t := &ticket{client: c, item: it, granted: make(chan api.Grant, 1)}
-	it.Data = t
+	t := &ticket{client: c, request: req, granted: make(chan api.Grant, 1)}
+	req.Data = t
 	c.signalFlush()
 	return t, nil
 }
@@ -90,16 +90,16 @@
 	return r
 }
 
-// router returns the queue of a pool and creates it on first use.
-func (c *Client) router(pool string) *schedule.Router {
-	r := c.routers[pool]
-	if r == nil {
-		r = schedule.NewRouter(pool, c.newIncarnation())
-		c.byIncarnation[r.Incarnation()] = r
-		c.routers[pool] = r
-		c.syncOwner(pool, r)
+// queuesOf returns the queues of a pool and creates it on first use.
+func (c *Client) queuesOf(pool string) *schedule.EntryQueues {
+	e := c.entryQueues[pool]
+	if e == nil {
+		e = schedule.NewEntryQueues(pool, c.newIncarnation())
+		c.byIncarnation[e.Incarnation()] = e
+		c.entryQueues[pool] = e
+		c.syncOwner(pool, e)
 	}
-	return r
+	return e
 }
 
 // newIncarnation returns an unused random incarnation. 20 bits distinguish the processes of
@@ -114,10 +114,10 @@
 }
 
 // syncOwner sets the owner of a pool as the lease reports it.
-func (c *Client) syncOwner(pool string, r *schedule.Router) {
+func (c *Client) syncOwner(pool string, e *schedule.EntryQueues) {
 	if owner, epoch, ok := c.lease.Owner(pool); ok {
-		_, was := r.Owner()
-		r.SetOwner(owner, epoch)
+		_, was := e.Owner()
+		e.SetOwner(owner, epoch)
 		if epoch > was {
 			c.kernel.Events.Record(kernel.Event{Kind: "pool", Step: "owner", Pool: pool, Peer: owner, Epoch: epoch})
 		}
@@ -133,17 +133,17 @@
 	c.refreshView()
 	c.addRouters()
 	lost := c.leaseLost(now)
-	for pool, r := range c.routers {
-		c.syncOwner(pool, r)
-		for _, it := range r.Tick(now) {
-			c.refuseQueued(pool, it, refusal("deadline", "the deadline passed in the queue", http.StatusGatewayTimeout, time.Second))
+	for pool, e := range c.entryQueues {
+		c.syncOwner(pool, e)
+		for _, req := range e.Tick(now) {
+			c.refuseQueued(pool, req, refusal("deadline", "the deadline passed in the queue", http.StatusGatewayTimeout, time.Second))
 		}
 		switch {
-		case r.Queued() == 0:
+		case e.Queued() == 0:
 		case lost:
-			c.refuseWaiting(pool, r, noLease, now)
+			c.refuseWaiting(pool, e, noLease, now)
 		case !c.view.pools[pool]:
-			c.refuseWaiting(pool, r, unknownPool, now)
+			c.refuseWaiting(pool, e, unknownPool, now)
 		}
 	}
 	c.signalFlush()
@@ -153,21 +153,21 @@
 // every instance, also of those that never had a request.
 func (c *Client) addRouters() {
 	for pool := range c.view.pools {
-		c.router(pool)
+		c.queuesOf(pool)
 	}
 }
 
 // refuseWaiting refuses all queued requests of a pool.
-func (c *Client) refuseWaiting(pool string, r *schedule.Router, reason func() *api.Refusal, now time.Duration) {
-	for _, it := range r.RefuseAll(now) {
-		c.refuseQueued(pool, it, reason())
+func (c *Client) refuseWaiting(pool string, e *schedule.EntryQueues, reason func() *api.Refusal, now time.Duration) {
+	for _, req := range e.RefuseAll(now) {
+		c.refuseQueued(pool, req, reason())
 	}
 	c.kernel.Events.Record(kernel.Event{Kind: "pool", Step: "refuse waiting", Pool: pool, Detail: reason().Code})
 }
 
 // refuseQueued refuses a request that was removed from the queue.
-func (c *Client) refuseQueued(pool string, it *schedule.Item, r *api.Refusal) {
-	t := it.Data.(*ticket)
+func (c *Client) refuseQueued(pool string, req *schedule.LocalRequest, r *api.Refusal) {
+	t := req.Data.(*ticket)
 	t.refusal.Store(c.refuse(pool, r))
 	c.leaveQueue(t)
 	close(t.granted)
--- a/plugin/pool/setup.go
+++ b/plugin/pool/setup.go
@@ -46,8 +46,8 @@
 	tickSignal      chan struct{} // a tick is due at once
 
 	mu                sync.Mutex
-	routers           map[string]*schedule.Router
-	byIncarnation     map[uint64]*schedule.Router
+	entryQueues       map[string]*schedule.EntryQueues
+	byIncarnation     map[uint64]*schedule.EntryQueues
 	view              view
 	queued            int
 	draining          bool
@@ -72,13 +72,13 @@
 	}
 	c.kernel = k
 	c.flushSignal, c.tickSignal = make(chan struct{}, 1), make(chan struct{}, 1)
-	c.routers, c.metrics = map[string]*schedule.Router{}, map[string]*poolMetrics{}
-	c.byIncarnation = map[uint64]*schedule.Router{}
+	c.entryQueues, c.metrics = map[string]*schedule.EntryQueues{}, map[string]*poolMetrics{}
+	c.byIncarnation = map[uint64]*schedule.EntryQueues{}
 	badMessages := k.Metrics.GetOrCreateCounter(`nutmeg_sched_bad_messages_total{at="router"}`)
 	c.countBadMessage = badMessages.Inc
 	k.Metrics.NewGauge("nutmeg_pool_waiting", func() float64 { return float64(c.waiting()) })
 	c.mesh.Handle(schedule.MethodGrant, c.onGrant)
-	c.mesh.Handle(schedule.MethodService, c.onService)
+	c.mesh.Handle(schedule.MethodServiceTable, c.onService)
 	c.lease.OnChange(func() { c.signalFlush(); kernel.Signal(c.tickSignal) })
 	c.localOwner.Attach(c)
 	return kernel.Provide[api.Pool](k, c)
@@ -136,9 +136,9 @@
 func (c *Client) requestCounts() (waiting, running int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.routers {
-		waiting += r.Queued()
-		running += r.Running()
+	for _, e := range c.entryQueues {
+		waiting += e.Queued()
+		running += e.Running()
 	}
 	return waiting, running
 }
@@ -159,7 +159,7 @@
 }
 
 func (c *Client) onService(_ context.Context, from string, params json.RawMessage) (any, error) {
-	m := &schedule.ServiceMsg{}
+	m := &schedule.ServiceTableMsg{}
 	if err := m.UnmarshalJSON(params); err != nil {
 		c.countBadMessage()
 		return nil, errors.WithMessagef(err, "service table from %s", from)
--- a/plugin/pool/ticket.go
+++ b/plugin/pool/ticket.go
@@ -10,7 +10,7 @@
 // ticket is a queued or running request. It implements api.Ticket.
 type ticket struct {
 	client    *Client
-	item      *schedule.Item
+	request   *schedule.LocalRequest
 	granted   chan api.Grant
 	refusal   atomic.Pointer[api.Refusal]
 	leftQueue bool // no longer counted as queued; guarded by the client's lock
@@ -27,7 +27,7 @@
 	c := t.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.routers[t.item.Demand.Pool].Confirm(t.item, w, boot, c.now())
+	c.entryQueues[t.request.Demand.Pool].Confirm(t.request, w, boot, c.now())
 	c.signalFlush()
 }
 
@@ -36,10 +36,10 @@
 	c := t.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.item.Started() {
-		c.metricsOf(t.item.Demand.Pool).countEnded(o.Result)
+	if t.request.Started() {
+		c.metricsOf(t.request.Demand.Pool).countEnded(o.Result)
 	}
-	c.routers[t.item.Demand.Pool].Done(t.item, o, c.now())
+	c.entryQueues[t.request.Demand.Pool].Done(t.request, o, c.now())
 	c.signalFlush()
 }
 
@@ -48,7 +48,7 @@
 	c := t.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.routers[t.item.Demand.Pool].Cancel(t.item, c.now())
+	c.entryQueues[t.request.Demand.Pool].Cancel(t.request, c.now())
 	c.leaveQueue(t)
 	c.signalFlush()
 }
--- a/plugin/scheduler/metrics.go
+++ b/plugin/scheduler/metrics.go
@@ -62,7 +62,7 @@
 	c.published = s
 	was := c.publishedService
 	c.publishedService = make(map[string]float64, len(was))
-	o.Fair().Each(func(w *fairness.Workspace) { c.workspace(w, was[w.Name]) })
+	o.Accounts().Each(func(w *fairness.Workspace) { c.workspace(w, was[w.Name]) })
 	c.targets(o)
 }
 
@@ -77,7 +77,7 @@
 
 func (c *poolMetrics) targets(o *schedule.Owner) {
 	limit, used, orphans := 0, 0, 0
-	for _, t := range o.Limits().Targets() {
+	for _, t := range o.Targets().Targets() {
 		limit += t.Limit()
 		used += t.Used()
 		orphans += t.Orphans()
--- a/plugin/scheduler/ownership.go
+++ b/plugin/scheduler/ownership.go
@@ -96,13 +96,13 @@
 			targets = append(targets, limits.Config{
 				Name: t.Name, DataCentre: t.DataCentre,
 				WarmCapacity: t.WarmCapacity, ColdCapacity: t.ColdCapacity,
-				EvidenceLife: p.EvidenceLife(), RequestLimit: p.RequestLimit(),
+				WarmthTTL: p.EvidenceLife(), RequestLimit: p.RequestLimit(),
 				// The age of a report is its lag plus the duration of the poll.
 				ReportLag: p.ReportLag() + pollTimeout,
 			})
 		}
 	}
-	l := op.owner.Limits()
+	l := op.owner.Targets()
 	l.Configure(targets, now)
 	l.SetOut(v.Out, now)
 	l.SetLeaving(s.leaving, now)
--- a/plugin/scheduler/polls.go
+++ b/plugin/scheduler/polls.go
@@ -103,7 +103,7 @@
 		if op == nil {
 			continue
 		}
-		if t := op.owner.Limits().Target(p.name); t != nil && t.Orphans() > 0 {
+		if t := op.owner.Targets().Target(p.name); t != nil && t.Orphans() > 0 {
 			out = append(out, p)
 		}
 	}
@@ -171,11 +171,11 @@
 	switch {
 	case l.ok:
 		op.loadStates[l.name] = loadState{l.report.Warmth, l.report.Boot}
-		op.owner.Limits().Report(l.name, l.report, now)
+		op.owner.Targets().Report(l.name, l.report, now)
 	case l.refused:
-		op.owner.Limits().Refused(l.name, now)
+		op.owner.Targets().ConnectionRefused(l.name, now)
 	default:
-		op.owner.Limits().Silent(l.name, now)
+		op.owner.Targets().PollFailed(l.name, now)
 	}
 }
 
@@ -235,6 +235,6 @@
 	}
 	s.leaving = leaving
 	for _, op := range s.owned {
-		op.owner.Limits().SetLeaving(leaving, now)
+		op.owner.Targets().SetLeaving(leaving, now)
 	}
 }
--- a/plugin/scheduler/setup.go
+++ b/plugin/scheduler/setup.go
@@ -63,7 +63,7 @@
 	flushedAt   time.Duration
 	publishedAt time.Duration
 	resigning   bool
-	serviceMsg  schedule.ServiceMsg
+	serviceMsg  schedule.ServiceTableMsg
 	failures    *errorCounters
 }
 
--- a/plugin/scheduler/worker.go
+++ b/plugin/scheduler/worker.go
@@ -180,11 +180,11 @@
 // the accounts in use, or all accounts.
 func (s *Scheduler) sendService(op *ownedPool, all bool) {
 	m := &s.serviceMsg
-	if !op.owner.Service(m, all) {
+	if !op.owner.ServiceTable(m, all) {
 		return
 	}
 	for _, peer := range s.mesh.Peers() {
-		if err := s.notify(peer, schedule.MethodService, m); err != nil {
+		if err := s.notify(peer, schedule.MethodServiceTable, m); err != nil {
 			op.metrics.serviceLost.Inc()
 		}
 	}
@@ -215,7 +215,7 @@
 
 // recordEvents records the state changes of a pool as kernel events.
 func (s *Scheduler) recordEvents(pool string, op *ownedPool) {
-	for _, n := range op.owner.Notes() {
+	for _, n := range op.owner.Changes() {
 		s.kernel.Events.Record(kernel.Event{
 			Kind: "sched", Step: n.Step, Pool: pool, Epoch: op.owner.Epoch(),
 			Peer: n.Peer, Target: n.Target, Detail: n.Detail,
