--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -111,19 +111,19 @@
 	var reqs, rels []json.RawMessage
 	err := decodeArray(data, 2, &out.Boot, &out.Seq, &out.Revision, &out.StampMs, &out.StampCount, &reqs, &out.Unreached, &rels)
 	if err != nil {
-		return errors.WithMessage(err, "heartbeat")
+		return errors.WithMessage(err, "beat")
 	}
 	if out.Boot == 0 || out.Seq == 0 {
-		return errors.New("heartbeat: no boot or no sequence")
+		return errors.New("beat: no boot or no sequence")
 	}
 	for _, raw := range reqs {
 		var r Request
 		notOwned := 0
 		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &notOwned, &r.HandedOverEpoch); err != nil {
-			return errors.WithMessage(err, "heartbeat request")
+			return errors.WithMessage(err, "beat request")
 		}
 		if r.Pool == "" || r.Epoch == 0 {
-			return errors.New("heartbeat request: no pool or no epoch")
+			return errors.New("beat request: no pool or no epoch")
 		}
 		r.Held = notOwned == 0
 		out.Requests = append(out.Requests, r)
@@ -131,10 +131,10 @@
 	for _, raw := range rels {
 		var r Release
 		if err := decodeArray(raw, 2, &r.Pool, &r.Epoch, &r.Successor); err != nil {
-			return errors.WithMessage(err, "heartbeat release")
+			return errors.WithMessage(err, "beat release")
 		}
 		if r.Pool == "" || r.Epoch == 0 {
-			return errors.New("heartbeat release: no pool or no epoch")
+			return errors.New("beat release: no pool or no epoch")
 		}
 		out.Releases = append(out.Releases, r)
 	}
@@ -179,10 +179,10 @@
 	for _, raw := range unanswered {
 		var u UnansweredPeer
 		if err := decodeArray(raw, 2, &u.Peer, &u.SinceReplyMs); err != nil {
-			return errors.WithMessage(err, "reply unanswered peer")
+			return errors.WithMessage(err, "reply quiet")
 		}
 		if u.Peer == "" || u.SinceReplyMs > math.MaxInt32 {
-			return errors.New("reply unanswered peer: no peer or time out of range")
+			return errors.New("reply quiet: no peer or time out of range")
 		}
 		out.Unanswered = append(out.Unanswered, u)
 	}
