--- a/cmd/nutmegctl/change.go
+++ b/cmd/nutmegctl/change.go
@@ -52,7 +52,7 @@
 	if base == 0 {
 		base = view.Revision
 	}
-	return t.submit(ctx, api.Submission{Base: base, Config: cfg})
+	return t.submit(ctx, api.Submission{BaseRevision: base, Config: cfg})
 }
 
 func (t *tool) check(args []string) error {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	return t.submit(ctx, api.Submission{Base: view.Revision, DataCentre: positional[0], Out: out})
+	return t.submit(ctx, api.Submission{BaseRevision: view.Revision, DataCentre: positional[0], Out: out})
 }
 
 func (t *tool) takeOut(args []string) error   { return t.setDataCentre(args, "out", true) }
@@ -135,11 +135,11 @@
 	res, err := t.submitWithRetry(ctx, s)
 	if err != nil {
 		return &exitError{exitUnknown, errors.WithMessagef(err,
-			"outcome unknown; resend with -change-id %s -base %d", s.ChangeID, s.Base)}
+			"outcome unknown; resend with -change-id %s -base %d", s.ChangeID, s.BaseRevision)}
 	}
 	switch {
-	case res.Conflict != "":
-		return &exitError{exitConflict, errors.Errorf("refused: change %s won (revision %d); nothing was changed", res.Conflict, res.Revision)}
+	case res.ConflictingChange != "":
+		return &exitError{exitConflict, errors.Errorf("refused: change %s won (revision %d); nothing was changed", res.ConflictingChange, res.Revision)}
 	case res.Error != "":
 		return &exitError{exitUsage, errors.Errorf("refused: %s; nothing was changed", res.Error)}
 	}
--- a/cmd/nutmegctl/main_test.go
+++ b/cmd/nutmegctl/main_test.go
@@ -83,7 +83,7 @@
 	is.Equal(code, exitOK)
 	is.True(strings.Contains(out, "revision 5 accepted and in force everywhere"))
 	is.Equal(len(f.changes), 3)
-	is.Equal(f.changes[0].Base, uint64(4))
+	is.Equal(f.changes[0].BaseRevision, uint64(4))
 	is.Equal(f.changes[0].ChangeID, f.changes[2].ChangeID)
 	is.True(f.changes[0].ChangeID != "")
 }
@@ -100,7 +100,7 @@
 		code   int
 		text   string
 	}{
-		{"conflict", func(f *fakeInstance) { f.result = api.SubmitResult{Revision: 6, Conflict: "other"} }, []string{"out", "a"}, exitConflict, "change other won"},
+		{"conflict", func(f *fakeInstance) { f.result = api.SubmitResult{Revision: 6, ConflictingChange: "other"} }, []string{"out", "a"}, exitConflict, "change other won"},
 		{"refused", func(f *fakeInstance) { f.result = api.SubmitResult{Error: "no such data centre"} }, []string{"back", "a"}, exitUsage, "no such data centre"},
 		{"not in force", func(f *fakeInstance) { f.inForce = false }, []string{"wait", "5"}, exitUnknown, "waiting for [b]"},
 		{"unknown outcome", func(f *fakeInstance) { f.failures = 1 << 30 }, []string{"out", "a"}, exitUnknown, "resend with -change-id"},
--- a/cmd/nutmegctl/read.go
+++ b/cmd/nutmegctl/read.go
@@ -33,7 +33,7 @@
 		return t.printJSON(view)
 	}
 	fmt.Fprintf(t.out, "// revision %d\n", view.Revision)
-	for name, out := range view.Out {
+	for name, out := range view.DataCentresOut {
 		if out {
 			fmt.Fprintf(t.out, "// data centre %s is out\n", name)
 		}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -45,41 +45,42 @@
 // can find relays. The reports are part of the heartbeats and need no messages
 // of their own.
 type Links interface {
-	// Unreached returns the peers without a working direct link, sorted.
-	Unreached() []string
-	// Report records the peers to which the given peer reports no working direct
-	// link.
-	Report(peer string, unreached []string)
+	// PeersWithoutLink returns the peers without a working direct link, sorted.
+	PeersWithoutLink() []string
+	// RecordPeersWithoutLink records the peers to which the given peer reports no
+	// working direct link.
+	RecordPeersWithoutLink(peer string, unreached []string)
 }
 
 // LinkChange is the event that a link to a peer was established or lost.
 type LinkChange struct {
-	Peer       string // instance name
-	Boot       string // incarnation of the peer's process
-	DataCentre string // of the peer; "" when the link is lost
-	Control    bool   // the peer has a control replica
-	Up         bool   // the link was established; false = lost
+	Peer              string // instance name
+	Incarnation       string // incarnation of the peer's process
+	DataCentre        string // of the peer; "" when the link is lost
+	HasControlReplica bool   // the peer has a control replica
+	Up                bool   // the link was established; false = lost
 }
 
-// Roster maintains the links of a mesh whose membership changes at run time.
-type Roster interface {
-	// Dial sets the addresses, each IP:port, to which links are maintained and
-	// closes links to all others. It may be called once the duties have started.
-	Dial(addresses []string)
-	// OnLink registers a function that is called after a link was established or
-	// lost. It must not block. Register from Provision.
-	OnLink(f func(LinkChange))
+// LinkManager maintains the links of a mesh whose membership changes at run time.
+type LinkManager interface {
+	// SetAddresses sets the addresses, each IP:port, to which links are maintained
+	// and closes links to all others. It may be called once the duties have
+	// started.
+	SetAddresses(addresses []string)
+	// OnLinkChange registers a function that is called after a link was established
+	// or lost. It must not block. Register from Provision.
+	OnLinkChange(f func(LinkChange))
 }
 
 // Topology lists the discovered instances and the control leader. It is provided
 // only with the profile "routes", whose instances are discovered.
 type Topology interface {
-	// Controls returns the known control instances, sorted.
-	Controls() []string
+	// ControlInstances returns the known control instances, sorted.
+	ControlInstances() []string
 	// Leader returns the control leader with the highest term that is known, or "".
 	Leader() (instance string, term uint64)
-	// Entries returns the number of entry instances; 0 = not known yet.
-	Entries() int
+	// EntryCount returns the number of entry instances; 0 = not known yet.
+	EntryCount() int
 	// OnLeader registers a function that is called after the known leader has
 	// changed. It must not block. Register from Provision.
 	OnLeader(f func(instance string, term uint64))
@@ -94,16 +95,17 @@
 	// Owner returns the last known owner of a pool and its epoch; ok is false if
 	// none is known.
 	Owner(pool string) (instance string, epoch uint64, ok bool)
-	// Holds reports whether this instance owns the pool now, and the epoch of its
+	// Owns reports whether this instance owns the pool now, and the epoch of its
 	// ownership.
-	Holds(pool string) (epoch uint64, ok bool)
+	Owns(pool string) (epoch uint64, ok bool)
 	// MayHoldLease reports whether a peer may still have a valid instance lease.
 	// It is conservative and returns true for unknown peers.
 	MayHoldLease(peer string) bool
-	// Revision returns the newest view revision that a peer has reported.
-	Revision(peer string) uint64
-	// SetPools sets the pools of which this instance tries to become the owner.
-	SetPools(pools []string)
+	// PeerRevision returns the newest view revision that a peer has reported.
+	PeerRevision(peer string) uint64
+	// SeekOwnership sets the pools of which this instance tries to become the
+	// owner.
+	SeekOwnership(pools []string)
 	// Resign releases the ownership of all pools and waits until it is handed over
 	// or the context ends. This instance does not try to become an owner again
 	// until its process ends.
@@ -119,8 +121,8 @@
 	Revision uint64 `json:"revision"`
 	// Config is the configuration document; nil at revision 0.
 	Config *fleetconfig.Config `json:"config"`
-	// Out is the set of data centres that are out of service, by name.
-	Out map[string]bool `json:"out,omitempty"`
+	// DataCentresOut is the set of data centres that are out of service, by name.
+	DataCentresOut map[string]bool `json:"out,omitempty"`
 	// Version is the operators' version number of Document; 0 without a document.
 	Version uint64 `json:"version,omitempty"`
 	// Document is the compressed configuration of a fleet with the profile
@@ -145,22 +147,25 @@
 	// ChangeID identifies the change; a resend with the same id returns the
 	// stored result and changes nothing.
 	ChangeID string `json:"change_id"`
-	// Base is the revision that the change was based on. A change with an outdated
-	// base is refused as a conflict unless Newest is set.
-	Base uint64 `json:"base"`
+	// BaseRevision is the revision that the change was based on. A change with an
+	// outdated base is refused as a conflict unless OnNewestRevision is set.
+	BaseRevision uint64 `json:"base"`
 	// Author is free text shown in the history.
 	Author string `json:"author,omitempty"`
-	// Config replaces the whole document if set. It is ignored if Newest is set.
+	// Config replaces the whole document if set. It is ignored if
+	// OnNewestRevision is set.
 	Config *fleetconfig.Config `json:"config,omitempty"`
 	// DataCentre names a data centre to take out of service (Out is true) or to
 	// bring back (false).
 	DataCentre string `json:"data_centre,omitempty"`
 	Out        bool   `json:"out,omitempty"`
-	// Newest applies the change to the newest revision and ignores Base. A change
-	// that no longer has an effect is accepted without a new revision.
-	Newest bool `json:"newest,omitempty"`
+	// OnNewestRevision applies the change to the newest revision and ignores
+	// BaseRevision. A change that no longer has an effect is accepted without a new
+	// revision.
+	OnNewestRevision bool `json:"newest,omitempty"`
 	// Version and Document replace the document of the profile "routes" if Version
-	// is greater than the stored one. They are used only if Newest is set.
+	// is greater than the stored one. They are used only if OnNewestRevision is
+	// set.
 	Version  uint64 `json:"version,omitempty"`
 	Document []byte `json:"document,omitempty"`
 }
@@ -169,11 +174,11 @@
 type SubmitResult struct {
 	// Revision is the revision that the change created, or the newest one if the
 	// change had no effect. After a conflict it is the revision of the change named
-	// by Conflict; 0 with an error.
+	// by ConflictingChange; 0 with an error.
 	Revision uint64 `json:"revision"`
-	// Conflict is the id of the change with which this one conflicts, or "unknown"
-	// if the history no longer holds it; "" = no conflict.
-	Conflict string `json:"conflict,omitempty"`
+	// ConflictingChange is the id of the change with which this one conflicts, or
+	// "unknown" if the history no longer holds it; "" = no conflict.
+	ConflictingChange string `json:"conflict,omitempty"`
 	// Error is the reason why the change is invalid; "" = valid.
 	Error string `json:"error,omitempty"`
 }
@@ -231,18 +236,18 @@
 	// Claim claims a request for holder, a unique request id, so that requests
 	// with the same key run at most once.
 	Claim(ctx context.Context, key ClaimKey, holder string) (ClaimResult, error)
-	// Settle stores the outcome of a claim. A nil outcome releases the claim; it
-	// is allowed only if the request was certainly not run.
-	Settle(ctx context.Context, key ClaimKey, holder string, outcome *ClaimOutcome) error
-	// OrderEpoch returns a new fencing token for orders to the pool's targets.
-	OrderEpoch(ctx context.Context, pool string) (uint64, error)
+	// SettleClaim stores the outcome of a claim. A nil outcome releases the claim;
+	// it is allowed only if the request was certainly not run.
+	SettleClaim(ctx context.Context, key ClaimKey, holder string, outcome *ClaimOutcome) error
+	// NewOrderToken returns a new fencing token for orders to the pool's targets.
+	NewOrderToken(ctx context.Context, pool string) (uint64, error)
 	// ReadRevision returns the newest accepted view revision. The read is
 	// linearizable: a quorum confirms the leader after the call began.
 	ReadRevision(ctx context.Context) (uint64, error)
 	// ReadView returns the newest accepted view by a linearizable read.
 	ReadView(ctx context.Context) (*View, error)
 	// Status returns the state of the local replica. On an instance without one
-	// Replica is "".
+	// ReplicaID is "".
 	Status() ControlStatus
 	// OnStatus registers a function that is called after the role, the known
 	// leader or the members have changed. It must not block.
@@ -251,12 +256,12 @@
 
 // ControlStatus describes the control log as seen from one instance.
 type ControlStatus struct {
-	Replica string   `json:"replica,omitempty"` // replica identity, "" without a disk
-	Role    string   `json:"role"`              // leader, follower, learner, candidate or none
-	Leader  string   `json:"leader,omitempty"`  // instance name of the known leader
-	Term    uint64   `json:"term"`              // newest known term
-	Commit  uint64   `json:"commit"`            // index of the last committed entry
-	Voters  []string `json:"voters,omitempty"`  // instances with voting replicas
+	ReplicaID   string   `json:"replica,omitempty"` // replica identity, "" without a disk
+	Role        string   `json:"role"`              // leader, follower, learner, candidate or none
+	Leader      string   `json:"leader,omitempty"`  // instance name of the known leader
+	Term        uint64   `json:"term"`              // newest known term
+	CommitIndex uint64   `json:"commit"`            // index of the last committed entry
+	Voters      []string `json:"voters,omitempty"`  // instances with voting replicas
 	// Members names the instances of voters and learners.
 	Members []string `json:"members,omitempty"`
 }
@@ -272,15 +277,15 @@
 	ClassLabel   CostClass = "label"
 )
 
-// Demand is a request for a slot on a target, sent to the pool's scheduler.
-type Demand struct {
-	ID        string // unique in the fleet
-	Pool      string
-	Workspace string
-	Class     CostClass
-	Hint      float64       // the caller's estimate of the cost, in cost units; 0 = none
-	Deadline  time.Duration // on the kernel clock; 0 = none
-	Avoid     string        // target to use only if no other has a free slot; "" = none
+// SlotRequest is a request for a slot on a target, sent to the pool's scheduler.
+type SlotRequest struct {
+	ID          string // unique in the fleet
+	Pool        string
+	Workspace   string
+	Class       CostClass
+	CostHint    float64       // the caller's estimate of the cost, in cost units; 0 = none
+	Deadline    time.Duration // on the kernel clock; 0 = none
+	AvoidTarget string        // target to use only if no other has a free slot; "" = none
 	// Admitted marks a further attempt of a request that was already admitted. It
 	// is accepted even if the queue is full or a planned stop is in progress.
 	Admitted bool
@@ -293,15 +298,15 @@
 	Epoch   uint64 // epoch of the owner that granted the slot
 }
 
-// Result is how the use of a grant ended, as reported to the scheduler.
-type Result string
+// GrantResult is how the use of a grant ended, as reported to the scheduler.
+type GrantResult string
 
 // Results of a grant.
 const (
-	ResultOK         Result = "ok"          // the whole response was received
-	ResultNotStarted Result = "not_started" // no byte was sent to the target
-	ResultFailed     Result = "failed"      // the target failed, refused or cut off the response
-	ResultCancelled  Result = "cancelled"   // the caller disconnected; the work was cancelled
+	ResultOK         GrantResult = "ok"          // the whole response was received
+	ResultNotStarted GrantResult = "not_started" // no byte was sent to the target
+	ResultFailed     GrantResult = "failed"      // the target failed, refused or cut off the response
+	ResultCancelled  GrantResult = "cancelled"   // the caller disconnected; the work was cancelled
 )
 
 // Warmth is whether a target is cold or warm, as reported by the target.
@@ -314,12 +319,12 @@
 	WarmthCold    Warmth = "cold"
 )
 
-// Outcome is how the use of a grant ended and what it cost.
-type Outcome struct {
-	Result Result
-	Cost   float64 // actual cost in cost units; 0 = unknown
-	Warmth Warmth
-	Boot   uint64 // boot number of the target; 0 = unknown
+// GrantOutcome is how the use of a grant ended and what it cost.
+type GrantOutcome struct {
+	Result     GrantResult
+	Cost       float64 // actual cost in cost units; 0 = unknown
+	Warmth     Warmth
+	BootNumber uint64 // boot number of the target; 0 = unknown
 }
 
 // Ticket is one queued or running request on this instance.
@@ -329,22 +334,23 @@
 	Granted() <-chan Grant
 	// Refusal returns the reason why the request was refused; nil = not refused.
 	Refusal() *Refusal
-	// Confirm reports that the first byte of the response has arrived, with the
-	// warmth and boot number in the response header.
-	Confirm(w Warmth, boot uint64)
+	// ResponseStarted reports that the first byte of the response has arrived, with
+	// the warmth and boot number in the response header.
+	ResponseStarted(w Warmth, boot uint64)
 	// Done reports the outcome and frees the slot. It must be called exactly once
 	// after a grant was received.
-	Done(o Outcome)
+	Done(o GrantOutcome)
 	// Cancel removes the request from the queue. After a grant was delivered it has
 	// the effect of Done with ResultNotStarted unless Done was called.
 	Cancel()
 }
 
-// Pool queues requests on this instance until the pool's scheduler grants them.
-type Pool interface {
+// PoolQueue queues requests on this instance until the pool's scheduler grants
+// them.
+type PoolQueue interface {
 	// Enqueue adds a request to the queue. The error is a *Refusal, for example
 	// because the queue is full or the instance is stopping.
-	Enqueue(d Demand) (Ticket, error)
+	Enqueue(d SlotRequest) (Ticket, error)
 	// Drain waits until no request is queued or running.
 	Drain(ctx context.Context) error
 }
@@ -368,9 +374,9 @@
 	RetryAfter time.Duration // when the caller should retry; 0 = no advice
 	Step       string        // processing step that refused the request
 	Peer       string        // target or instance involved; "" = none
-	// Inputs are the values behind the decision, as alternating keys and values
+	// LogAttrs are the values behind the decision, as alternating keys and values
 	// for the log.
-	Inputs []any
+	LogAttrs []any
 }
 
 // Error implements error.
@@ -384,38 +390,38 @@
 
 // Request is a caller's request that has passed the admission checks.
 type Request struct {
-	ID            string // unique request id
-	Workspace     string
-	Pool          string
-	Method        string
-	Path          string // path and query on the target
-	Header        map[string]string
-	Body          []byte
-	Key           string // idempotency key, "" = none
-	NonIdempotent bool
-	Class         CostClass
-	Hint          float64       // the caller's estimate of the cost, in cost units; 0 = none
-	Deadline      time.Duration // how long the caller waits for the start of the response; 0 = none
-	// Gone is closed when the caller disconnects.
-	Gone <-chan struct{}
+	ID              string // unique request id
+	Workspace       string
+	Pool            string
+	Method          string
+	Path            string // path and query on the target
+	Header          map[string]string
+	Body            []byte
+	IdempotencyKey  string // idempotency key, "" = none
+	NonIdempotent   bool
+	Class           CostClass
+	CostHint        float64       // the caller's estimate of the cost, in cost units; 0 = none
+	ResponseTimeout time.Duration // how long the caller waits for the start of the response; 0 = none
+	// Disconnected is closed when the caller disconnects.
+	Disconnected <-chan struct{}
 }
 
-// AnswerHead is the status and headers of a target's response.
-type AnswerHead struct {
+// ResponseHead is the status and headers of a target's response.
+type ResponseHead struct {
 	Status int // HTTP status
 	Header map[string]string
 	Target string // name of the target that responded
-	// Length is the number of body bytes, or -1 if unknown.
-	Length int64
-	// Extra holds the second and further values of repeated headers, such as
-	// Set-Cookie, whose values cannot be joined, as pairs of name and value.
-	Extra [][2]string
+	// BodyBytes is the number of body bytes, or -1 if unknown.
+	BodyBytes int64
+	// RepeatedHeaders holds the second and further values of repeated headers, such
+	// as Set-Cookie, whose values cannot be joined, as pairs of name and value.
+	RepeatedHeaders [][2]string
 }
 
-// Answer is the response to a request.
-type Answer interface {
+// Response is the response to a request.
+type Response interface {
 	// Head returns the status and headers.
-	Head() AnswerHead
+	Head() ResponseHead
 	// Read reads the body. It returns io.EOF only after the whole body was
 	// delivered; any other error means that the response is incomplete.
 	Read(p []byte) (int, error)
@@ -425,11 +431,11 @@
 
 // TargetState is the state of a target as known to the owner of its pool.
 type TargetState struct {
-	Target  fleetconfig.Target
-	Warmth  Warmth // from the newest load report; WarmthUnknown without one
-	Boot    uint64 // boot number from the newest report, 0 if unknown
-	Leaving bool   // the platform's list marks the target as about to be removed
-	Out     bool   // its data centre is out of service
+	Target     fleetconfig.Target
+	Warmth     Warmth // from the newest load report; WarmthUnknown without one
+	BootNumber uint64 // boot number from the newest report, 0 if unknown
+	Leaving    bool   // the platform's list marks the target as about to be removed
+	Out        bool   // its data centre is out of service
 }
 
 // TargetStates lists the states of targets in the pools that this instance owns.
@@ -442,7 +448,7 @@
 // Dispatcher runs a request on a target: it queues the request, waits for a
 // grant, claims the idempotency key, sends, retries and resumes.
 type Dispatcher interface {
-	// Do returns the response once its headers have arrived. The error is a
+	// Dispatch returns the response once its headers have arrived. The error is a
 	// *Refusal.
-	Do(ctx context.Context, r *Request) (Answer, error)
+	Dispatch(ctx context.Context, r *Request) (Response, error)
 }
--- a/internal/api/dialect.go
+++ b/internal/api/dialect.go
@@ -12,28 +12,28 @@
 // paths and document formats of the platform. It is used with the profile
 // "routes" and only translates; decisions are made by its users.
 type Dialect interface {
-	// Caller reads the headers of a caller's request. The error names an invalid
-	// header.
-	Caller(h *fasthttp.RequestHeader) (CallerFields, error)
-	// Forward sets the headers of a request to a target and removes those that a
-	// caller must not set.
-	Forward(h *fasthttp.RequestHeader, f TargetFields)
-	// Answer reads the response header of a target.
-	Answer(h *fasthttp.ResponseHeader) AnswerFields
-	// Refuse sets the request id and the retry advice in the response header of a
-	// refusal. An empty id and a zero duration are left out.
-	Refuse(h *fasthttp.ResponseHeader, requestID string, retryAfter time.Duration)
-	// Document parses a configuration. The error says why it is invalid.
-	Document(raw []byte) (*routing.Table, error)
+	// ParseRequest reads the headers of a caller's request. The error names an
+	// invalid header.
+	ParseRequest(h *fasthttp.RequestHeader) (CallerFields, error)
+	// SetTargetHeaders sets the headers of a request to a target and removes those
+	// that a caller must not set.
+	SetTargetHeaders(h *fasthttp.RequestHeader, f TargetFields)
+	// ParseResponse reads the response header of a target.
+	ParseResponse(h *fasthttp.ResponseHeader) ResponseFields
+	// SetRefusalHeaders sets the request id and the retry advice in the response
+	// header of a refusal. An empty id and a zero duration are left out.
+	SetRefusalHeaders(h *fasthttp.ResponseHeader, requestID string, retryAfter time.Duration)
+	// ParseConfig parses a configuration. The error says why it is invalid.
+	ParseConfig(raw []byte) (*routing.Table, error)
 	// DirectoryPath returns the path of a page of the list of targets; token is
 	// "" for the first page.
 	DirectoryPath(token string) string
-	// DirectoryPage parses a page of the list of targets. Entries that cannot be
-	// parsed are left out and counted.
-	DirectoryPage(raw []byte) (DirectoryPage, error)
-	// Order returns the order that an operator's HTTP call stands for; false if
-	// there is none with this method and path.
-	Order(method, path string) (Order, bool)
+	// ParseDirectoryPage parses a page of the list of targets. Entries that cannot
+	// be parsed are left out and counted.
+	ParseDirectoryPage(raw []byte) (DirectoryPage, error)
+	// ParseOrder returns the order that an operator's HTTP call stands for; false
+	// if there is none with this method and path.
+	ParseOrder(method, path string) (Order, bool)
 	// ReadyPath returns the path of the load balancer's readiness check.
 	ReadyPath() string
 }
@@ -47,48 +47,51 @@
 
 // CallerFields are the fields in the headers of a caller's request.
 type CallerFields struct {
-	ID  string // identity of this attempt of the caller; "" = absent
-	Key string // bearer key of the workspace; "" = absent
-	// Deadline is how long the caller waits; 0 = absent.
-	Deadline time.Duration
-	// After is the id of the last event that the caller has received; "" = absent.
-	After string
-	Model string
+	RequestID string // identity of this attempt of the caller; "" = absent
+	BearerKey string // bearer key of the workspace; "" = absent
+	// Timeout is how long the caller waits; 0 = absent.
+	Timeout time.Duration
+	// LastEventID is the id of the last event that the caller has received; "" =
+	// absent.
+	LastEventID string
+	Model       string
 	// PromptTokens is the length of the prompt, OutputTokens the largest number of
 	// tokens that may be generated.
-	PromptTokens, OutputTokens int
-	// OutputHint is the caller's estimate of the tokens generated; 0 = absent.
-	OutputHint int
-	Prompt     []PromptPart
+	PromptTokens, MaxOutputTokens int
+	// OutputTokensHint is the caller's estimate of the tokens generated; 0 =
+	// absent.
+	OutputTokensHint int
+	Prompt           []PromptPart
 }
 
 // TargetFields are the fields in the headers of a request to a target.
 type TargetFields struct {
 	Workspace string // "" on public routes without a key
-	// Deadline is how long the target may work on the request.
-	Deadline time.Duration
-	// Target is the identity of the target that must respond. A target with
-	// another identity refuses the request.
-	Target string
-	// After is the id of the event after which a stream resumes; "" keeps the
-	// caller's header.
-	After string
+	// Timeout is how long the target may work on the request.
+	Timeout time.Duration
+	// ExpectedTarget is the identity of the target that must respond. A target
+	// with another identity refuses the request.
+	ExpectedTarget string
+	// LastEventID is the id of the event after which a stream resumes; "" keeps
+	// the caller's header.
+	LastEventID string
 }
 
-// AnswerFields are the fields in the response header of a target.
-type AnswerFields struct {
-	ID     string // request id
-	Signed bool   // the response has a signature
+// ResponseFields are the fields in the response header of a target.
+type ResponseFields struct {
+	RequestID string // request id
+	Signed    bool   // the response has a signature
 	// NotRun reports that the target guarantees that the request was not run and
 	// will not be.
 	NotRun bool
-	// OtherTarget reports that the response is from another target than the
+	// WrongTarget reports that the response is from another target than the
 	// expected one.
-	OtherTarget bool
-	// ColdFor is how long the target stays cold; 0 = absent.
-	ColdFor time.Duration
-	// IdleLimit is how long the target keeps an idle connection open; 0 = absent.
-	IdleLimit time.Duration
+	WrongTarget bool
+	// ColdRemaining is how long the target stays cold; 0 = absent.
+	ColdRemaining time.Duration
+	// IdleTimeout is how long the target keeps an idle connection open; 0 =
+	// absent.
+	IdleTimeout time.Duration
 }
 
 // DirectoryEntry is one target in the platform's list.
@@ -99,20 +102,20 @@
 	DataCentre string
 	Slots      int  // concurrent requests
 	Leaving    bool // about to be removed; must not be sent new requests
-	// ColdFor is how long the target stays cold, counted from the time of the
-	// response.
-	ColdFor time.Duration
-	// BornMs is the start time of the target in Unix milliseconds; 0 = absent. It
-	// identifies the incarnation: another value under the same ID means that the
-	// target was restarted.
-	BornMs int64
+	// ColdRemaining is how long the target stays cold, counted from the time of
+	// the response.
+	ColdRemaining time.Duration
+	// StartedUnixMs is the start time of the target in Unix milliseconds; 0 =
+	// absent. It identifies the incarnation: another value under the same ID means
+	// that the target was restarted.
+	StartedUnixMs int64
 }
 
 // DirectoryPage is one page of the list of targets.
 type DirectoryPage struct {
-	Entries    []DirectoryEntry
-	Unreadable int    // number of entries that could not be parsed
-	Next       string // token of the next page; "" on the last one
+	Entries           []DirectoryEntry
+	UnreadableEntries int    // number of entries that could not be parsed
+	NextToken         string // token of the next page; "" on the last one
 }
 
 // OrderKind is the kind of an operator's order.
@@ -120,14 +123,14 @@
 
 // Kinds of orders.
 const (
-	OrderReplace OrderKind = iota + 1 // replace the configuration
-	OrderRead                         // read the configuration
-	OrderOut                          // take a data centre out of service
-	OrderBack                         // bring a data centre back into service
+	OrderReplace   OrderKind = iota + 1 // replace the configuration
+	OrderRead                           // read the configuration
+	OrderTakeOut                        // take a data centre out of service
+	OrderBringBack                      // bring a data centre back into service
 )
 
 // Order is an operator's order, parsed from an HTTP call.
 type Order struct {
 	Kind       OrderKind
-	DataCentre string // set for OrderOut and OrderBack
+	DataCentre string // set for OrderTakeOut and OrderBringBack
 }
--- a/internal/api/document.go
+++ b/internal/api/document.go
@@ -33,9 +33,9 @@
 	return raw, errors.WithMessage(err, "decompress document")
 }
 
-// Table parses the document of the view. It returns nil for a view without a
-// document.
-func (v *View) Table(d Dialect) (*routing.Table, error) {
+// ParseTable parses the document of the view. It returns nil for a view
+// without a document.
+func (v *View) ParseTable(d Dialect) (*routing.Table, error) {
 	if v.Version == 0 {
 		return nil, nil
 	}
@@ -43,5 +43,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return d.Document(raw)
+	return d.ParseConfig(raw)
 }
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -19,9 +19,9 @@
 	Leaving    bool // about to be removed; must not be sent new requests
 	// ColdUntil is the end of the cold start on the kernel clock; 0 = warm.
 	ColdUntil time.Duration
-	// BornMs is the start time of the target in Unix milliseconds, which identifies
-	// the incarnation of the target under its ID; 0 = unknown.
-	BornMs int64
+	// StartedUnixMs is the start time of the target in Unix milliseconds, which
+	// identifies the incarnation of the target under its ID; 0 = unknown.
+	StartedUnixMs int64
 }
 
 // Directory lists the targets that the platform runs.
@@ -31,15 +31,15 @@
 	Targets() []Target
 	// Target returns the target with the ID; false if it is not in the list.
 	Target(id string) (Target, bool)
-	// Known reports whether a list has been received.
-	Known() bool
+	// Loaded reports whether a list has been received.
+	Loaded() bool
 	// OnChange registers a function that is called after the list has changed. It
 	// must not block. Register from Provision.
 	OnChange(f func())
 }
 
-// Work describes a request that needs a target.
-type Work struct {
+// PlacementRequest describes a request that needs a target.
+type PlacementRequest struct {
 	RequestID string
 	Workspace string // "" on public routes
 	Route     *routing.Route
@@ -48,60 +48,61 @@
 	// PromptTokens, OutputTokens and Prompt describe a model request; zero
 	// otherwise. OutputTokens is the expected number of tokens generated, not the
 	// upper bound.
-	PromptTokens, OutputTokens int
-	Prompt                     []PromptPart
+	PromptTokens, ExpectedOutputTokens int
+	Prompt                             []PromptPart
 	// Objective is when the response, or the first event of a stream, is due.
 	// Deadline is when the response becomes useless. Both are on the kernel clock.
 	Objective, Deadline time.Duration
-	// Tried lists the IDs of the targets to which the request was already sent.
-	Tried []string
-	// Resumes reports that a broken stream is resumed; the caller has already
+	// TriedTargets lists the IDs of the targets to which the request was already
+	// sent.
+	TriedTargets []string
+	// Resumed reports that a broken stream is resumed; the caller has already
 	// received its beginning.
-	Resumes bool
+	Resumed bool
 }
 
 // Placement is a target on which a request may start now.
 type Placement interface {
 	// Target returns the target.
 	Target() Target
-	// Sent reports that the first byte of the request is about to be written. It
-	// fails if the target must no longer be used; then nothing may be sent.
-	Sent() error
-	// Began reports that the first byte of the response has arrived.
-	Began()
-	// Progress reports the number of events received from the target so far.
-	Progress(events int)
+	// BeforeSend reports that the first byte of the request is about to be written.
+	// It fails if the target must no longer be used; then nothing may be sent.
+	BeforeSend() error
+	// ResponseStarted reports that the first byte of the response has arrived.
+	ResponseStarted()
+	// ReportEvents reports the number of events received from the target so far.
+	ReportEvents(events int)
 	// End reports the outcome and frees the target. It must be called once.
-	End(o WorkOutcome)
+	End(o AttemptOutcome)
 }
 
-// WorkOutcome is how an attempt on a target ended.
-type WorkOutcome string
+// AttemptOutcome is how an attempt on a target ended.
+type AttemptOutcome string
 
 // Outcomes of an attempt.
 const (
-	WorkServed      WorkOutcome = "served"      // the whole response was received
-	WorkUnreachable WorkOutcome = "unreachable" // no connection; nothing was sent
-	WorkUnsent      WorkOutcome = "unsent"      // abandoned before the first byte was sent
-	WorkFull        WorkOutcome = "full"        // the target refused because it was full
-	WorkOther       WorkOutcome = "other"       // another target has the address
-	WorkFailed      WorkOutcome = "failed"      // the target returned an error response
-	WorkBroken      WorkOutcome = "broken"      // no response, or an incomplete one
-	WorkLate        WorkOutcome = "late"        // the target missed the deadline
-	WorkCancelled   WorkOutcome = "cancelled"   // the caller disconnected
+	AttemptServed      AttemptOutcome = "served"      // the whole response was received
+	AttemptUnreachable AttemptOutcome = "unreachable" // no connection; nothing was sent
+	AttemptUnsent      AttemptOutcome = "unsent"      // abandoned before the first byte was sent
+	AttemptTargetFull  AttemptOutcome = "full"        // the target refused because it was full
+	AttemptWrongTarget AttemptOutcome = "other"       // another target has the address
+	AttemptFailed      AttemptOutcome = "failed"      // the target returned an error response
+	AttemptIncomplete  AttemptOutcome = "broken"      // no response, or an incomplete one
+	AttemptTimedOut    AttemptOutcome = "late"        // the target missed the deadline
+	AttemptCancelled   AttemptOutcome = "cancelled"   // the caller disconnected
 )
 
 // Placer finds targets for requests.
 type Placer interface {
 	// Precheck refuses a request of an overloaded workspace, which sends far more
 	// than its share to this instance; nil = not refused.
-	Precheck(w *Work) *Refusal
-	// TurnedAway reports a request that this instance shed for lack of its own
+	Precheck(w *PlacementRequest) *Refusal
+	// ReportShed reports a request that this instance shed for lack of its own
 	// resources, so that its workspace's demand is counted in the shares.
-	TurnedAway(w *Work)
+	ReportShed(w *PlacementRequest)
 	// Place waits until the request may start on a target. The error is a
 	// *Refusal or the context's error.
-	Place(ctx context.Context, w *Work) (Placement, error)
+	Place(ctx context.Context, w *PlacementRequest) (Placement, error)
 }
 
 // ForwardRequest is a caller's request that has passed the admission checks.
@@ -115,25 +116,25 @@
 	// Header is the caller's request header. It is not modified.
 	Header *fasthttp.RequestHeader
 	Body   []byte
-	// Waited is a lower bound of the time that the caller has spent on its earlier
-	// attempts.
-	Waited time.Duration
-	// Arrived is when the first byte of the request was read, Deadline when the
+	// PriorWait is a lower bound of the time that the caller has spent on its
+	// earlier attempts.
+	PriorWait time.Duration
+	// ReceivedAt is when the first byte of the request was read, Deadline when the
 	// response must be complete. Both are on the kernel clock.
-	Arrived, Deadline time.Duration
-	// Present checks the connection itself and reports whether the caller is still
-	// connected. Its result is right even if the goroutine that watches the
-	// connection has not been scheduled yet. nil = not known.
-	Present func() bool
+	ReceivedAt, Deadline time.Duration
+	// CallerConnected checks the connection itself and reports whether the caller
+	// is still connected. Its result is right even if the goroutine that watches
+	// the connection has not been scheduled yet. nil = not known.
+	CallerConnected func() bool
 }
 
-// ForwardAnswer is the response of a target.
-type ForwardAnswer interface {
+// ForwardResponse is the response of a target.
+type ForwardResponse interface {
 	// Header returns the target's status and headers. It is valid until Close.
 	Header() *fasthttp.ResponseHeader
-	// Whole returns the body if it is already complete; false if it must be read
-	// with Read while it arrives.
-	Whole() ([]byte, bool)
+	// CompleteBody returns the body if it is already complete; false if it must be
+	// read with Read while it arrives.
+	CompleteBody() ([]byte, bool)
 	// Read reads the body. It returns io.EOF only after the whole body; any other
 	// error means that the response is incomplete.
 	Read(p []byte) (int, error)
@@ -146,10 +147,10 @@
 	// Precheck refuses a request of an overloaded workspace, which sends many times
 	// its share, before more work is spent on it; nil = not refused. It is cheap.
 	Precheck(r *ForwardRequest) *Refusal
-	// TurnedAway reports a request that the instance shed after Precheck, for lack
+	// ReportShed reports a request that the instance shed after Precheck, for lack
 	// of its own resources.
-	TurnedAway(r *ForwardRequest)
+	ReportShed(r *ForwardRequest)
 	// Forward returns the response once its headers have arrived. The error is a
 	// *Refusal, or the context's error after the caller has disconnected.
-	Forward(ctx context.Context, r *ForwardRequest) (ForwardAnswer, error)
+	Forward(ctx context.Context, r *ForwardRequest) (ForwardResponse, error)
 }
--- a/internal/fleetstate/bench_test.go
+++ b/internal/fleetstate/bench_test.go
@@ -50,7 +50,7 @@
 		sub := Submit{Submission: api.Submission{Config: s.config}}
 		for b.Loop() {
 			b.StopTimer()
-			sub.ChangeID, sub.Base = fmt.Sprint("c", s.revision), s.revision
+			sub.ChangeID, sub.BaseRevision = fmt.Sprint("c", s.revision), s.revision
 			raw, _ := (&Command{Submit: &sub}).Encode()
 			b.StartTimer()
 			if r := s.Apply(raw); r.Submit.Revision == 0 {
@@ -64,7 +64,7 @@
 func BenchmarkApplyOut(b *testing.B) {
 	forSizes(b, func(b *testing.B, s *State) {
 		for b.Loop() {
-			sub := Submit{Submission: api.Submission{ChangeID: fmt.Sprint("c", s.revision), Base: s.revision, DataCentre: "dc1", Out: s.revision%2 == 0}}
+			sub := Submit{Submission: api.Submission{ChangeID: fmt.Sprint("c", s.revision), BaseRevision: s.revision, DataCentre: "dc1", Out: s.revision%2 == 0}}
 			raw, _ := (&Command{Submit: &sub}).Encode()
 			if r := s.Apply(raw); r.Submit.Revision == 0 {
 				b.Fatal(r.Submit)
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -94,9 +94,9 @@
 func (s *State) rebuildView() {
 	v := &api.View{Revision: s.revision, Config: s.config, Version: s.version, Document: s.document}
 	if len(s.outOfService) > 0 {
-		v.Out = make(map[string]bool, len(s.outOfService))
+		v.DataCentresOut = make(map[string]bool, len(s.outOfService))
 		for dc := range s.outOfService {
-			v.Out[dc] = true
+			v.DataCentresOut[dc] = true
 		}
 	}
 	s.view = v
--- a/internal/fleetstate/state_test.go
+++ b/internal/fleetstate/state_test.go
@@ -49,17 +49,17 @@
 	}{
 		{"out before a document", api.Submission{ChangeID: "0", DataCentre: "a", Out: true}, api.SubmitResult{Error: `data centre "a" does not exist`}},
 		{"first document", api.Submission{ChangeID: "1", Config: testConfig()}, api.SubmitResult{Revision: 1}},
-		{"same base", api.Submission{ChangeID: "2", Config: testConfig()}, api.SubmitResult{Conflict: "1", Revision: 1}},
+		{"same base", api.Submission{ChangeID: "2", Config: testConfig()}, api.SubmitResult{ConflictingChange: "1", Revision: 1}},
 		{"accepted change resent", api.Submission{ChangeID: "1", Config: testConfig()}, api.SubmitResult{Revision: 1}},
-		{"refused change resent", api.Submission{ChangeID: "2", Base: 1, Config: testConfig()}, api.SubmitResult{Conflict: "1", Revision: 1}},
-		{"out", api.Submission{ChangeID: "3", Base: 1, DataCentre: "a", Out: true}, api.SubmitResult{Revision: 2}},
-		{"same base as out", api.Submission{ChangeID: "4", Base: 1, DataCentre: "b", Out: true}, api.SubmitResult{Conflict: "3", Revision: 2}},
-		{"unknown data centre", api.Submission{ChangeID: "5", Base: 2, DataCentre: "x", Out: true}, api.SubmitResult{Error: `data centre "x" does not exist`}},
-		{"base does not exist", api.Submission{ChangeID: "6", Base: 9, Config: testConfig()}, api.SubmitResult{Error: "base revision 9 does not exist, the newest is 2"}},
-		{"empty", api.Submission{ChangeID: "7", Base: 2}, api.SubmitResult{Error: "change is empty"}},
-		{"no id", api.Submission{Base: 2, Config: testConfig()}, api.SubmitResult{Error: "change id is missing"}},
-		{"back", api.Submission{ChangeID: "8", Base: 2, DataCentre: "a"}, api.SubmitResult{Revision: 3}},
-		{"old base", api.Submission{ChangeID: "9", Base: 0, Config: testConfig()}, api.SubmitResult{Conflict: "1", Revision: 1}},
+		{"refused change resent", api.Submission{ChangeID: "2", BaseRevision: 1, Config: testConfig()}, api.SubmitResult{ConflictingChange: "1", Revision: 1}},
+		{"out", api.Submission{ChangeID: "3", BaseRevision: 1, DataCentre: "a", Out: true}, api.SubmitResult{Revision: 2}},
+		{"same base as out", api.Submission{ChangeID: "4", BaseRevision: 1, DataCentre: "b", Out: true}, api.SubmitResult{ConflictingChange: "3", Revision: 2}},
+		{"unknown data centre", api.Submission{ChangeID: "5", BaseRevision: 2, DataCentre: "x", Out: true}, api.SubmitResult{Error: `data centre "x" does not exist`}},
+		{"base does not exist", api.Submission{ChangeID: "6", BaseRevision: 9, Config: testConfig()}, api.SubmitResult{Error: "base revision 9 does not exist, the newest is 2"}},
+		{"empty", api.Submission{ChangeID: "7", BaseRevision: 2}, api.SubmitResult{Error: "change is empty"}},
+		{"no id", api.Submission{BaseRevision: 2, Config: testConfig()}, api.SubmitResult{Error: "change id is missing"}},
+		{"back", api.Submission{ChangeID: "8", BaseRevision: 2, DataCentre: "a"}, api.SubmitResult{Revision: 3}},
+		{"old base", api.Submission{ChangeID: "9", BaseRevision: 0, Config: testConfig()}, api.SubmitResult{ConflictingChange: "1", Revision: 1}},
 	}
 	is := is.New(t)
 	s := New()
@@ -68,10 +68,10 @@
 			t.Fatalf("%s: got %+v, want %+v", st.name, got, st.want)
 		}
 		if st.sub.ChangeID == "3" {
-			is.Equal(s.View().Out, map[string]bool{"a": true})
+			is.Equal(s.View().DataCentresOut, map[string]bool{"a": true})
 		}
 	}
-	is.Equal(len(s.View().Out), 0)
+	is.Equal(len(s.View().DataCentresOut), 0)
 	is.Equal(len(s.History(2)), 2)
 	is.Equal(s.History(2)[0].ChangeID, "8")
 }
@@ -82,11 +82,11 @@
 	is := is.New(t)
 	s := New()
 	for i := range 600 {
-		is.Equal(submit(t, s, api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i), Config: testConfig()}).Revision, uint64(i+1))
+		is.Equal(submit(t, s, api.Submission{ChangeID: fmt.Sprint(i), BaseRevision: uint64(i), Config: testConfig()}).Revision, uint64(i+1))
 	}
 	s = snapshotAndRestore(t, s)
-	is.Equal(submit(t, s, api.Submission{ChangeID: "7", Base: 7, Config: testConfig()}), api.SubmitResult{Revision: 8})
-	is.Equal(submit(t, s, api.Submission{ChangeID: "x", Base: 7, Config: testConfig()}), api.SubmitResult{Conflict: "7", Revision: 8})
+	is.Equal(submit(t, s, api.Submission{ChangeID: "7", BaseRevision: 7, Config: testConfig()}), api.SubmitResult{Revision: 8})
+	is.Equal(submit(t, s, api.Submission{ChangeID: "x", BaseRevision: 7, Config: testConfig()}), api.SubmitResult{ConflictingChange: "7", Revision: 8})
 	is.Equal(s.Revision(), uint64(600))
 }
 
@@ -142,14 +142,14 @@
 			submit(t, s, api.Submission{ChangeID: "doc", Config: testConfig(move(tc.dc))})
 			for i, st := range tc.steps {
 				if st.operator != "" {
-					submit(t, s, api.Submission{ChangeID: fmt.Sprint("op", i), Base: s.Revision(), DataCentre: tc.dc, Out: st.operator == "out"})
+					submit(t, s, api.Submission{ChangeID: fmt.Sprint("op", i), BaseRevision: s.Revision(), DataCentre: tc.dc, Out: st.operator == "out"})
 				}
 				s = snapshotAndRestore(t, s)
 				due := s.DueMoveSteps(st.unixMs)
 				r := apply(t, s, Command{UnixMs: st.unixMs, Move: &MoveStep{Move: MoveID(move(tc.dc)), Out: st.out}})
 				is.Equal(r.Move, st.want)
 				is.Equal(len(due) > 0 && due[0].Out == st.out, r.Move != MoveNone) // a step is due exactly if it has an effect
-				is.Equal(s.View().Out[tc.dc], st.outAfter)
+				is.Equal(s.View().DataCentresOut[tc.dc], st.outAfter)
 			}
 		})
 	}
@@ -157,7 +157,7 @@
 	s := New()
 	submit(t, s, api.Submission{ChangeID: "doc", Config: testConfig(move("a"))})
 	is.Equal(apply(t, s, Command{UnixMs: outMs, Move: &MoveStep{Move: "unlisted", Out: true}}).Move, MoveNone)
-	submit(t, s, api.Submission{ChangeID: "out", Base: 1, DataCentre: "b", Out: true}) // the other targets of the pool
+	submit(t, s, api.Submission{ChangeID: "out", BaseRevision: 1, DataCentre: "b", Out: true}) // the other targets of the pool
 	is.Equal(apply(t, s, Command{UnixMs: outMs, Move: &MoveStep{Move: MoveID(move("a")), Out: true}}).Move, MoveSkipped)
 }
 
@@ -311,9 +311,9 @@
 	move := fleetconfig.Move{Name: "m", DataCentre: "a", OutAt: outAt, BackAt: backAt}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
-		c.Submit = &Submit{Submission: api.Submission{ChangeID: c.ID, Base: revision - rapid.Uint64Range(0, min(1, revision)).Draw(t, "old"), Config: testConfig(move)}}
+		c.Submit = &Submit{Submission: api.Submission{ChangeID: c.ID, BaseRevision: revision - rapid.Uint64Range(0, min(1, revision)).Draw(t, "old"), Config: testConfig(move)}}
 	case 1:
-		c.Submit = &Submit{Submission: api.Submission{ChangeID: c.ID, Base: revision, DataCentre: "b", Out: rapid.Bool().Draw(t, "out")}}
+		c.Submit = &Submit{Submission: api.Submission{ChangeID: c.ID, BaseRevision: revision, DataCentre: "b", Out: rapid.Bool().Draw(t, "out")}}
 	case 2:
 		c.Move = &MoveStep{Move: MoveID(move), Out: rapid.Bool().Draw(t, "out")}
 	case 3:
--- a/internal/fleetstate/submit.go
+++ b/internal/fleetstate/submit.go
@@ -27,16 +27,16 @@
 }
 
 // applySubmission accepts a change only if its base is the newest revision (optimistic
-// concurrency control). A change with Newest set does not need a base.
+// concurrency control). A change with OnNewestRevision set does not need a base.
 func (s *State) applySubmission(c *Submit) api.SubmitResult {
-	if c.Newest {
+	if c.OnNewestRevision {
 		return s.applyToNewest(c)
 	}
 	switch {
-	case c.Base > s.revision:
-		return api.SubmitResult{Error: fmt.Sprintf("base revision %d does not exist, the newest is %d", c.Base, s.revision)}
-	case c.Base < s.revision:
-		return s.conflictSince(c.Base + 1)
+	case c.BaseRevision > s.revision:
+		return api.SubmitResult{Error: fmt.Sprintf("base revision %d does not exist, the newest is %d", c.BaseRevision, s.revision)}
+	case c.BaseRevision < s.revision:
+		return s.conflictSince(c.BaseRevision + 1)
 	case c.Config == nil && c.DataCentre == "":
 		return api.SubmitResult{Error: "change is empty"}
 	}
@@ -76,10 +76,10 @@
 func (s *State) conflictSince(revision uint64) api.SubmitResult {
 	for _, h := range s.history {
 		if h.Revision >= revision {
-			return api.SubmitResult{Conflict: h.ChangeID, Revision: h.Revision}
+			return api.SubmitResult{ConflictingChange: h.ChangeID, Revision: h.Revision}
 		}
 	}
-	return api.SubmitResult{Conflict: "unknown", Revision: revision}
+	return api.SubmitResult{ConflictingChange: "unknown", Revision: revision}
 }
 
 // setOut takes a data centre out of service or back. Cause is the change id.
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -58,8 +58,8 @@
 	return w
 }
 
-func (f *fixture) end(r api.Result, w api.Warmth, boot uint64) {
-	f.End(f.pop(), api.Outcome{Result: r, Warmth: w, Boot: boot}, f.now)
+func (f *fixture) end(r api.GrantResult, w api.Warmth, boot uint64) {
+	f.End(f.pop(), api.GrantOutcome{Result: r, Warmth: w, BootNumber: boot}, f.now)
 }
 
 // warmUp raises the limit of the target to its warm capacity without starting work.
@@ -289,8 +289,8 @@
 	case 7:
 		s.Orphan(works[i], now)
 	case 8:
-		r := rapid.SampledFrom([]api.Result{api.ResultOK, api.ResultFailed, api.ResultCancelled}).Draw(t, "result")
-		s.End(works[i], api.Outcome{Result: r, Warmth: warmth, Boot: boot}, now)
+		r := rapid.SampledFrom([]api.GrantResult{api.ResultOK, api.ResultFailed, api.ResultCancelled}).Draw(t, "result")
+		s.End(works[i], api.GrantOutcome{Result: r, Warmth: warmth, BootNumber: boot}, now)
 		works = append(works[:i], works[i+1:]...)
 	case 9:
 		s.Remove(works[i], now)
--- a/internal/limits/set.go
+++ b/internal/limits/set.go
@@ -246,17 +246,17 @@
 
 // End handles the outcome of work and frees its slot. It ignores the warmth in the
 // outcome if Confirm has handled the response header before.
-func (s *Set) End(w *Work, o api.Outcome, now time.Duration) {
+func (s *Set) End(w *Work, o api.GrantOutcome, now time.Duration) {
 	t := w.target
 	if t == nil {
 		return
 	}
-	previousBoot := o.Boot != 0 && o.Boot < t.boot
+	previousBoot := o.BootNumber != 0 && o.BootNumber < t.boot
 	if !w.headerReceived {
 		w.headerCold = o.Warmth == api.WarmthCold
-		t.observe(o.Warmth, o.Boot, now)
+		t.observe(o.Warmth, o.BootNumber, now)
 	} else {
-		t.observe(api.WarmthUnknown, o.Boot, now)
+		t.observe(api.WarmthUnknown, o.BootNumber, now)
 	}
 	switch {
 	case previousBoot:
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -121,7 +121,7 @@
 		}
 		if kind, ok := p.nextOrder(now, s, pr); ok {
 			pr.inFlight = true
-			out = append(out, Order{kind, s.Target, s.Boot, p.pool.Model, p.pool.Version})
+			out = append(out, Order{kind, s.Target, s.BootNumber, p.pool.Model, p.pool.Version})
 		}
 	}
 	return out
@@ -158,8 +158,8 @@
 // target's boot or the model's version.
 func (p *Planner) progressOf(s api.TargetState) *progress {
 	pr, ok := p.targets[s.Target.Name]
-	if !ok || s.Boot != pr.boot || pr.version != p.pool.Version {
-		pr = &progress{boot: s.Boot, version: p.pool.Version}
+	if !ok || s.BootNumber != pr.boot || pr.version != p.pool.Version {
+		pr = &progress{boot: s.BootNumber, version: p.pool.Version}
 		p.targets[s.Target.Name] = pr
 	}
 	return pr
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -21,7 +21,7 @@
 	for i := range n {
 		out = append(out, api.TargetState{
 			Target: fleetconfig.Target{Name: fmt.Sprint("t", i), DataCentre: "a"},
-			Warmth: api.WarmthCold, Boot: 1,
+			Warmth: api.WarmthCold, BootNumber: 1,
 		})
 	}
 	return out
@@ -58,7 +58,7 @@
 	for now := time.Duration(0); now < 30*time.Second; now += time.Second {
 		s := states(1)
 		if now >= 15*time.Second {
-			s[0].Boot = 2 // the target restarts
+			s[0].BootNumber = 2 // the target restarts
 		}
 		for _, o := range p.Plan(now, s, nil) {
 			kinds = append(kinds, o.Kind)
@@ -127,7 +127,7 @@
 	p := NewPlanner(pool, loadInterval, 0)
 	old := p.Plan(loadInterval, states(1), nil)[0]
 	s := states(1)
-	s[0].Boot = 2
+	s[0].BootNumber = 2
 	is.Equal(len(p.Plan(loadInterval, s, nil)), 0) // the next load order is not due yet
 	p.RecordOutcome(loadInterval, old, Accepted)
 	got := p.Plan(3*loadInterval, s, nil)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -35,7 +35,7 @@
 				req.Prompt = []Part{{ID: hashPart("compare", i%40), Tokens: 5382}, {ID: PartID(i + 1), Tokens: 6610}}
 				k := Key{"n0", uint64(1_000_000 + i)}
 				s.owner.Submit(k, req, s.now)
-				s.owner.End(k, api.WorkUnsent, s.now)
+				s.owner.End(k, api.AttemptUnsent, s.now)
 				s.owner.Decisions()
 			}
 		})
--- a/internal/placement/health.go
+++ b/internal/placement/health.go
@@ -16,16 +16,16 @@
 
 // record updates the failure record with an outcome. After a failure without a valid
 // response the target is suspect for a time that doubles with each further one.
-func (h *health) record(o api.WorkOutcome, now time.Duration) {
+func (h *health) record(o api.AttemptOutcome, now time.Duration) {
 	switch o {
-	case api.WorkServed:
+	case api.AttemptServed:
 		h.failureRatio *= 1 - failureWeight
 		h.consecutiveFailures = 0
-	case api.WorkUnreachable, api.WorkBroken, api.WorkOther, api.WorkLate:
+	case api.AttemptUnreachable, api.AttemptIncomplete, api.AttemptWrongTarget, api.AttemptTimedOut:
 		h.failureRatio += failureWeight * (1 - h.failureRatio)
 		h.suspectUntil = now + min(initialSuspectTime<<min(h.consecutiveFailures, 8), maxSuspectTime)
 		h.consecutiveFailures++
-	case api.WorkFailed, api.WorkFull:
+	case api.AttemptFailed, api.AttemptTargetFull:
 		h.failureRatio += failureWeight * (1 - h.failureRatio)
 	}
 }
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -135,8 +135,8 @@
 // loadOf returns the record of a target, and a new one for a new incarnation of the target.
 func (l *Local) loadOf(t *api.Target) *targetLoad {
 	load := l.loads[t.ID]
-	if load == nil || load.bornMs != t.BornMs {
-		load = &targetLoad{bornMs: t.BornMs}
+	if load == nil || load.bornMs != t.StartedUnixMs {
+		load = &targetLoad{bornMs: t.StartedUnixMs}
 		l.loads[t.ID] = load
 	}
 	return load
@@ -147,14 +147,14 @@
 
 // End removes a running request from a target and records its outcome and latency. It does
 // nothing if the target has no record.
-func (l *Local) End(t api.Target, o api.WorkOutcome, took, now time.Duration) {
+func (l *Local) End(t api.Target, o api.AttemptOutcome, took, now time.Duration) {
 	load := l.loads[t.ID]
 	if load == nil {
 		return
 	}
 	load.running = max(0, load.running-1)
 	load.record(o, now)
-	if o == api.WorkServed {
+	if o == api.AttemptServed {
 		load.meanLatency = movingAverage(load.meanLatency, took)
 		l.typicalLatency[t.Service] = movingAverage(l.typicalLatency[t.Service], took)
 	}
--- a/internal/placement/owner.go
+++ b/internal/placement/owner.go
@@ -145,7 +145,7 @@
 // targetModel returns the model of a target, and a new one for a new incarnation.
 func (o *Owner) targetModel(info api.Target, e routing.Engine) *target {
 	t := o.targets[info.ID]
-	if t == nil || t.info.BornMs != info.BornMs {
+	if t == nil || t.info.StartedUnixMs != info.StartedUnixMs {
 		return newTarget(info, e, o.cacheIndex)
 	}
 	t.info, t.engine = info, e
@@ -253,7 +253,7 @@
 // End removes a request that has ended on its target or was withdrawn while queued, records
 // the outcome in the target's health, and starts queued requests. Tokens of a request that
 // did not run are given back to the workspace's share.
-func (o *Owner) End(k Key, outcome api.WorkOutcome, now time.Duration) {
+func (o *Owner) End(k Key, outcome api.AttemptOutcome, now time.Duration) {
 	w := o.requests[k]
 	if w == nil {
 		return
@@ -265,11 +265,11 @@
 	}
 	w.target.end(w)
 	w.target.health.record(outcome, now)
-	if outcome == api.WorkServed {
+	if outcome == api.AttemptServed {
 		o.recordRunTime(w.target.info.Service, now-w.sentAt)
 	}
 	switch outcome {
-	case api.WorkUnreachable, api.WorkUnsent, api.WorkFull, api.WorkOther:
+	case api.AttemptUnreachable, api.AttemptUnsent, api.AttemptTargetFull, api.AttemptWrongTarget:
 		o.shares.recordGranted(w.request.Workspace, -w.cost)
 	}
 	if w.target.health.suspectUntil > now {
--- a/internal/placement/owner_test.go
+++ b/internal/placement/owner_test.go
@@ -169,8 +169,8 @@
 	d := s.owner.Decisions()
 	is.Equal(len(d), 1)
 	is.Equal(d[0].Target, "e00")
-	s.owner.End(Key{"b", 1}, api.WorkServed, 0)
-	s.owner.End(Key{"b", 1}, api.WorkServed, 0)
+	s.owner.End(Key{"b", 1}, api.AttemptServed, 0)
+	s.owner.End(Key{"b", 1}, api.AttemptServed, 0)
 	tg := s.owner.targets["e00"]
 	is.Equal(len(tg.running), 0)
 	is.Equal(tg.outputTokens, 0)
@@ -214,7 +214,7 @@
 			case 2:
 				o.RecordFirstEvent(k, now)
 			case 3:
-				outcome := rapid.SampledFrom([]api.WorkOutcome{api.WorkServed, api.WorkBroken, api.WorkFull, api.WorkUnsent, api.WorkLate}).Draw(t, "outcome")
+				outcome := rapid.SampledFrom([]api.AttemptOutcome{api.AttemptServed, api.AttemptIncomplete, api.AttemptTargetFull, api.AttemptUnsent, api.AttemptTimedOut}).Draw(t, "outcome")
 				if open[k] && !decided[k] {
 					decided[k] = true
 				}
@@ -245,7 +245,7 @@
 			}
 		}
 		for k := range open {
-			o.End(k, api.WorkServed, now)
+			o.End(k, api.AttemptServed, now)
 		}
 		if len(o.requests) != 0 || o.Waiting() != 0 {
 			t.Fatalf("%d requests remain after all have ended", len(o.requests))
--- a/internal/placement/sim_test.go
+++ b/internal/placement/sim_test.go
@@ -189,7 +189,7 @@
 	}
 	e.maxStarts = max(e.maxStarts, len(e.starts))
 	if e.unreachable {
-		s.after(400*time.Millisecond, func() { s.owner.End(k, api.WorkUnreachable, s.now); c.done, c.refused = true, "unreachable" })
+		s.after(400*time.Millisecond, func() { s.owner.End(k, api.AttemptUnreachable, s.now); c.done, c.refused = true, "unreachable" })
 		return
 	}
 	e.running++
@@ -206,7 +206,7 @@
 			e.running--
 			e.cache.unpin(c.request.Prompt, 0)
 			c.done = true
-			s.after(s.messageDelay, func() { s.owner.End(k, api.WorkServed, s.now) })
+			s.after(s.messageDelay, func() { s.owner.End(k, api.AttemptServed, s.now) })
 		})
 	})
 }
--- a/internal/placement/unit_test.go
+++ b/internal/placement/unit_test.go
@@ -90,7 +90,7 @@
 	q.Tried = []string{"near"}
 	is.Equal(choose(), "far")
 	q.Tried = nil
-	l.End(targets[4], api.WorkBroken, 0, 0)
+	l.End(targets[4], api.AttemptIncomplete, 0, 0)
 	is.Equal(choose(), "far") // near has failed recently
 	q.Now = 20 * second
 	q.Targets = targets[:3]
@@ -217,6 +217,6 @@
 	s.owner.Submit(Key{"n", 1}, req, 0)
 	s.owner.Submit(Key{"n", 2}, req, 0)
 	is.Equal(s.owner.Decisions()[0].QueueDelay, time.Duration(0))
-	s.owner.End(Key{"n", 1}, api.WorkServed, 300*time.Millisecond)
+	s.owner.End(Key{"n", 1}, api.AttemptServed, 300*time.Millisecond)
 	is.Equal(s.owner.Decisions()[0].QueueDelay, 300*time.Millisecond)
 }
--- a/internal/placewire/messages.go
+++ b/internal/placewire/messages.go
@@ -41,8 +41,8 @@
 
 // End reports how the use of a target for a request ended.
 type End struct {
-	Number  uint64          `json:"n"`
-	Outcome api.WorkOutcome `json:"o"`
+	Number  uint64             `json:"n"`
+	Outcome api.AttemptOutcome `json:"o"`
 }
 
 // Up is a message of an entry instance to the owner.
@@ -70,10 +70,10 @@
 
 // Tokens returns the tokens of a request as they count towards its workspace's share: a
 // prompt token counts once, a generated token twice.
-func Tokens(w *api.Work) int { return w.PromptTokens + 2*w.OutputTokens }
+func Tokens(w *api.PlacementRequest) int { return w.PromptTokens + 2*w.ExpectedOutputTokens }
 
 // NewRefused returns the message for a request that was refused at time now.
-func NewRefused(w *api.Work, now time.Duration) Refused {
+func NewRefused(w *api.PlacementRequest, now time.Duration) Refused {
 	return Refused{int64(Tokens(w)), int64(OwnPart(w.Prompt)), (w.Objective - now).Milliseconds()}
 }
 
@@ -124,12 +124,12 @@
 }
 
 // NewAsk returns the message for a request at time now.
-func NewAsk(number uint64, w *api.Work, now time.Duration) Ask {
+func NewAsk(number uint64, w *api.PlacementRequest, now time.Duration) Ask {
 	return Ask{
 		Number: number, Service: w.Service, Workspace: w.Workspace,
-		Tokens: [2]int{w.PromptTokens, w.OutputTokens}, Prompt: encodePrompt(w.Prompt),
+		Tokens: [2]int{w.PromptTokens, w.ExpectedOutputTokens}, Prompt: encodePrompt(w.Prompt),
 		Ms:    [3]int64{(w.Objective - now).Milliseconds(), (w.Deadline - now).Milliseconds(), w.Route.Objective.Milliseconds()},
-		Tried: w.Tried, Resumes: w.Resumes,
+		Tried: w.TriedTargets, Resumes: w.Resumed,
 	}
 }
 
--- a/internal/schedule/bench_test.go
+++ b/internal/schedule/bench_test.go
@@ -53,7 +53,7 @@
 					}
 					o.Flush(send)
 					ws := p.requests[last.Number].queue.account.Name
-					d := Completion{last.Number, api.Outcome{Result: api.ResultOK, Cost: float64(50 + i%100), Warmth: api.WarmthWarm}}
+					d := Completion{last.Number, api.GrantOutcome{Result: api.ResultOK, Cost: float64(50 + i%100), Warmth: api.WarmthWarm}}
 					o.applyOutcome(p, &d, time.Duration(i))
 					a := Announcement{Number: last.Number, Workspace: ws, Class: api.ClassQuick}
 					o.addWaiting(p, &a, time.Duration(i))
@@ -80,7 +80,7 @@
 		o.decide(0)
 		o.Flush(send)
 		a.Number, a.Workspace = last.Number, p.requests[last.Number].queue.account.Name
-		d := Completion{last.Number, api.Outcome{Result: api.ResultOK, Cost: 70}}
+		d := Completion{last.Number, api.GrantOutcome{Result: api.ResultOK, Cost: 70}}
 		o.applyOutcome(p, &d, 0)
 		o.addWaiting(p, &a, 0)
 	}
--- a/internal/schedule/decode.go
+++ b/internal/schedule/decode.go
@@ -254,7 +254,7 @@
 	d.Outcome.Result = enum(r, results)
 	d.Outcome.Cost = r.float(false)
 	d.Outcome.Warmth = enum(r, warmths)
-	d.Outcome.Boot = r.uint()
+	d.Outcome.BootNumber = r.uint()
 }
 
 func readRunning(r *reader, x *Running) {
--- a/internal/schedule/encode.go
+++ b/internal/schedule/encode.go
@@ -14,7 +14,7 @@
 // Values that are encoded as their index; their order is part of the wire format.
 var classes = []api.CostClass{api.ClassUnknown, api.ClassLong, api.ClassQuick, api.ClassLabel}
 var warmths = []api.Warmth{api.WarmthUnknown, api.WarmthWarm, api.WarmthCold}
-var results = []api.Result{api.ResultOK, api.ResultNotStarted, api.ResultFailed, api.ResultCancelled}
+var results = []api.GrantResult{api.ResultOK, api.ResultNotStarted, api.ResultFailed, api.ResultCancelled}
 
 // indexOf returns the index of a value, or 0 if it is unknown.
 func indexOf[T comparable](values []T, v T) uint64 {
@@ -195,7 +195,7 @@
 	w.uint(indexOf(results, d.Outcome.Result))
 	w.float(d.Outcome.Cost, costDigits)
 	w.uint(indexOf(warmths, d.Outcome.Warmth))
-	w.uint(d.Outcome.Boot)
+	w.uint(d.Outcome.BootNumber)
 }
 
 func writeRunning(w *writer, r *Running) {
--- a/internal/schedule/message.go
+++ b/internal/schedule/message.go
@@ -32,7 +32,7 @@
 // Completion reports that a request has ended or has returned its grant unused.
 type Completion struct {
 	Number  uint64 // number of the request
-	Outcome api.Outcome
+	Outcome api.GrantOutcome
 }
 
 // Running describes a started request in a full report.
--- a/internal/schedule/message_test.go
+++ b/internal/schedule/message_test.go
@@ -15,12 +15,12 @@
 
 var testMessages = []json.Marshaler{
 	&DemandMsg{},
-	&DemandMsg{Header: testHeader, Done: []Completion{{Number: 9, Outcome: api.Outcome{Result: api.ResultFailed, Boot: 2}}}},
+	&DemandMsg{Header: testHeader, Done: []Completion{{Number: 9, Outcome: api.GrantOutcome{Result: api.ResultFailed, BootNumber: 2}}}},
 	&DemandMsg{Header: testHeader, Added: []Announcement{{Number: 1, Workspace: "ä\"\\\n", Class: api.ClassLong, Hint: 1.5, Avoid: "t1"}, {Number: 2}},
 		Cancelled: []uint64{5, 0}, Confirmed: []Confirm{{Number: 6, Warmth: api.WarmthCold, Boot: 3}, {}}},
 	&ReportMsg{Header: testHeader, Waiting: []Announcement{{Number: 1, Workspace: "w"}},
 		Running:           []Running{{Number: 8, Workspace: "w", Target: "t", Class: api.ClassQuick, Estimate: 12.25, Confirmed: true, AgeMs: 5}},
-		Done:              []Completion{{Number: 9, Outcome: api.Outcome{Result: api.ResultOK, Cost: 0.5, Warmth: api.WarmthWarm}}},
+		Done:              []Completion{{Number: 9, Outcome: api.GrantOutcome{Result: api.ResultOK, Cost: 0.5, Warmth: api.WarmthWarm}}},
 		Table:             ServiceTableMsg{Epoch: 2, Seq: 4, VirtualTime: 1e7, Rows: []fairness.Row{{Workspace: "w", RelativeService: -3, MeanCosts: [4]float64{0, 0, 7}}}},
 		ServiceSinceTable: []Usage{{"w", -2.5}}},
 	&ReportMsg{},
--- a/internal/schedule/protocol_test.go
+++ b/internal/schedule/protocol_test.go
@@ -88,7 +88,7 @@
 
 func (p *pair) enqueue(n int) (all []*LocalRequest) {
 	for i := range n {
-		req, _ := p.queues.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"}, 1000, p.now)
+		req, _ := p.queues.Enqueue(api.SlotRequest{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"}, 1000, p.now)
 		all = append(all, req)
 	}
 	p.deliverToOwner()
@@ -138,7 +138,7 @@
 			}
 			is.True(req.Started()) // granted again
 			is.Equal(p.owner.Targets().Target("t").Used(), 1)
-			p.queues.Done(req, api.Outcome{Result: api.ResultOK, Cost: 5}, p.now)
+			p.queues.Done(req, api.GrantOutcome{Result: api.ResultOK, Cost: 5}, p.now)
 			p.deliverToOwner()
 			is.Equal(p.owner.Targets().Target("t").Used(), 0)
 		})
@@ -156,7 +156,7 @@
 	for range 3 * MaxAnnounced {
 		started += p.deliverToRouter(p.schedule())
 		for _, req := range all {
-			p.queues.Done(req, api.Outcome{Result: api.ResultOK, Cost: 1}, p.now)
+			p.queues.Done(req, api.GrantOutcome{Result: api.ResultOK, Cost: 1}, p.now)
 		}
 		p.deliverToOwner()
 		is.True(p.owner.Waiting() <= MaxAnnounced)
@@ -182,7 +182,7 @@
 	is.Equal(p.owner.Targets().Target("t").Used(), 0)
 	is.Equal(p.owner.Waiting(), 0)
 	is.Equal(p.owner.Accounts().Get("w").Virtual(), 0.0) // no service was charged
-	req, _ := p.queues.Enqueue(api.Demand{Pool: "p", Workspace: "w"}, 1000, p.now)
+	req, _ := p.queues.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"}, 1000, p.now)
 	p.queues.Cancel(req, p.now) // in the same message as its announcement
 	p.deliverToOwner()
 	is.Equal(p.owner.Waiting(), 0)
@@ -194,7 +194,7 @@
 	is := is.New(t)
 	e := NewEntryQueues("p", 1)
 	for i := range 3 {
-		req, retry := e.Enqueue(api.Demand{Workspace: "w", Deadline: time.Duration(i) * time.Second}, 2, 0)
+		req, retry := e.Enqueue(api.SlotRequest{Workspace: "w", Deadline: time.Duration(i) * time.Second}, 2, 0)
 		is.Equal(req == nil, i == 2)
 		is.Equal(retry > 0, i == 2)
 	}
--- a/internal/schedule/router.go
+++ b/internal/schedule/router.go
@@ -43,7 +43,7 @@
 	// Number is the request's number on its instance, assigned when the request is
 	// announced to the owner; 0 before.
 	Number uint64
-	Demand api.Demand
+	Demand api.SlotRequest
 	// Data is for the caller of Enqueue; the package does not use it.
 	Data any
 
@@ -185,7 +185,7 @@
 // Enqueue adds a request to the queue of its workspace. If limit or more requests
 // of the workspace are waiting, it returns nil and the time after which the caller
 // should retry.
-func (e *EntryQueues) Enqueue(d api.Demand, limit int, now time.Duration) (*LocalRequest, time.Duration) {
+func (e *EntryQueues) Enqueue(d api.SlotRequest, limit int, now time.Duration) (*LocalRequest, time.Duration) {
 	q := e.queues[d.Workspace]
 	if q == nil {
 		q = &entryQueue{workspace: d.Workspace}
@@ -224,7 +224,7 @@
 }
 
 func (req *LocalRequest) announcement() Announcement {
-	return Announcement{req.Number, req.Demand.Workspace, req.Demand.Class, req.Demand.Hint, req.Demand.Avoid}
+	return Announcement{req.Number, req.Demand.Workspace, req.Demand.Class, req.Demand.CostHint, req.Demand.AvoidTarget}
 }
 
 // Cancel removes a waiting request from the queue, or returns the grant of a
@@ -232,7 +232,7 @@
 func (e *EntryQueues) Cancel(req *LocalRequest, now time.Duration) {
 	switch req.state {
 	case stateRunning:
-		e.Done(req, api.Outcome{Result: api.ResultNotStarted}, now)
+		e.Done(req, api.GrantOutcome{Result: api.ResultNotStarted}, now)
 		return
 	case stateEnded:
 		return
@@ -258,7 +258,7 @@
 		e.pendingDemand.Cancelled = append(e.pendingDemand.Cancelled, req.Number)
 	}
 	// A grant may be in flight, and the cancellation may be lost.
-	e.retainOutcome(Completion{req.Number, api.Outcome{Result: api.ResultNotStarted}})
+	e.retainOutcome(Completion{req.Number, api.GrantOutcome{Result: api.ResultNotStarted}})
 }
 
 func (e *EntryQueues) removeIfUnused(q *entryQueue) {
@@ -283,7 +283,7 @@
 
 // Done ends a started request and reports its outcome to the owner. It does
 // nothing if the request has not started.
-func (e *EntryQueues) Done(req *LocalRequest, o api.Outcome, now time.Duration) {
+func (e *EntryQueues) Done(req *LocalRequest, o api.GrantOutcome, now time.Duration) {
 	if req.state != stateRunning {
 		return
 	}
@@ -297,7 +297,7 @@
 	e.recordOutcome(req.Number, o, now)
 }
 
-func (e *EntryQueues) recordOutcome(n uint64, o api.Outcome, now time.Duration) {
+func (e *EntryQueues) recordOutcome(n uint64, o api.GrantOutcome, now time.Duration) {
 	e.lastActiveAt = now
 	d := Completion{n, o}
 	e.retainOutcome(d)
@@ -416,7 +416,7 @@
 func (e *EntryQueues) applyGrant(g *Grant, usable bool, now time.Duration, env GrantChecker) {
 	req := e.requests[g.Number]
 	if req == nil || req.state != stateAnnounced {
-		e.recordOutcome(g.Number, api.Outcome{Result: api.ResultNotStarted}, now) // cancelled before the grant arrived
+		e.recordOutcome(g.Number, api.GrantOutcome{Result: api.ResultNotStarted}, now) // cancelled before the grant arrived
 		return
 	}
 	address, ok := "", false
@@ -427,7 +427,7 @@
 	q.announced.remove(req)
 	if !ok {
 		delete(e.requests, req.Number)
-		e.recordOutcome(req.Number, api.Outcome{Result: api.ResultNotStarted}, now)
+		e.recordOutcome(req.Number, api.GrantOutcome{Result: api.ResultNotStarted}, now)
 		req.state = stateUnannounced
 		q.unannounced.pushFront(req)
 		q.announceAfter = now + reannounceDelay
--- a/internal/schedule/sim_test.go
+++ b/internal/schedule/sim_test.go
@@ -360,7 +360,7 @@
 // enqueue adds a request of the given true cost. It returns nil if the queue is full.
 func (r *simInstance) enqueue(ws string, class api.CostClass, cost, hint float64) *simJob {
 	j := &simJob{instance: r, incarnation: r.incarnation, workspace: ws, cost: cost, queuedAt: r.now}
-	req, _ := r.queues.Enqueue(api.Demand{Workspace: ws, Pool: poolName, Class: class, Hint: hint}, 256, r.now)
+	req, _ := r.queues.Enqueue(api.SlotRequest{Workspace: ws, Pool: poolName, Class: class, CostHint: hint}, 256, r.now)
 	if req == nil {
 		return nil
 	}
@@ -400,7 +400,7 @@
 	}
 	if t := r.byName[j.request.target]; t != nil && t.jobs[j] {
 		delete(t.jobs, j)
-		r.queues.Done(j.request, api.Outcome{Result: api.ResultCancelled}, r.now)
+		r.queues.Done(j.request, api.GrantOutcome{Result: api.ResultCancelled}, r.now)
 	} else if j.request.Waiting() {
 		r.queues.Cancel(j.request, r.now)
 	}
@@ -464,7 +464,7 @@
 	t.servedCost[j.workspace] += j.cost
 	boot := j.boot
 	j.notifyInstance(func(r *simInstance) {
-		r.queues.Done(j.request, api.Outcome{Result: api.ResultOK, Cost: j.cost, Warmth: w, Boot: boot}, r.now)
+		r.queues.Done(j.request, api.GrantOutcome{Result: api.ResultOK, Cost: j.cost, Warmth: w, BootNumber: boot}, r.now)
 		if r.onEnd != nil {
 			r.onEnd(j)
 		}
@@ -483,7 +483,7 @@
 		delete(t.jobs, j)
 		t.servedCost[j.workspace] += min(j.cost, (t.now-j.startedAt).Seconds()*t.rate)
 		j.notifyInstance(func(r *simInstance) {
-			r.queues.Done(j.request, api.Outcome{Result: api.ResultFailed}, r.now)
+			r.queues.Done(j.request, api.GrantOutcome{Result: api.ResultFailed}, r.now)
 			if r.onEnd != nil {
 				r.onEnd(j)
 			}
--- a/internal/targetlist/list.go
+++ b/internal/targetlist/list.go
@@ -31,14 +31,14 @@
 
 // Entry is the wire form of a target.
 type Entry struct {
-	ID         string `json:"i"`
-	Service    string `json:"s"`
-	Address    string `json:"a"`
-	DataCentre string `json:"z,omitempty"`
-	Slots      int    `json:"n,omitempty"`
-	Leaving    bool   `json:"l,omitempty"`
-	ColdMs     int64  `json:"c,omitempty"` // remaining cold start when the update was made; 0 = warm
-	BornMs     int64  `json:"b,omitempty"` // start of the target's incarnation, Unix time in milliseconds; 0 = unknown
+	ID            string `json:"i"`
+	Service       string `json:"s"`
+	Address       string `json:"a"`
+	DataCentre    string `json:"z,omitempty"`
+	Slots         int    `json:"n,omitempty"`
+	Leaving       bool   `json:"l,omitempty"`
+	ColdMs        int64  `json:"c,omitempty"` // remaining cold start when the update was made; 0 = warm
+	StartedUnixMs int64  `json:"b,omitempty"` // start of the target's incarnation, Unix time in milliseconds; 0 = unknown
 }
 
 // Update is the changes of a list from Base to Position, or the full list at Position.
@@ -128,7 +128,7 @@
 	next := make(map[string]api.Target, len(entries))
 	for _, e := range entries {
 		t := fromEntry(e, now)
-		if old, ok := next[t.ID]; ok && old.BornMs > t.BornMs {
+		if old, ok := next[t.ID]; ok && old.StartedUnixMs > t.StartedUnixMs {
 			continue
 		}
 		next[t.ID] = t
@@ -160,10 +160,10 @@
 func fromEntry(e api.DirectoryEntry, now time.Duration) api.Target {
 	t := api.Target{
 		ID: e.ID, Service: e.Service, Address: e.Address, DataCentre: e.DataCentre,
-		Slots: e.Slots, Leaving: e.Leaving, BornMs: e.BornMs,
+		Slots: e.Slots, Leaving: e.Leaving, StartedUnixMs: e.StartedUnixMs,
 	}
-	if e.ColdFor > 0 {
-		t.ColdUntil = now + e.ColdFor
+	if e.ColdRemaining > 0 {
+		t.ColdUntil = now + e.ColdRemaining
 	}
 	return t
 }
@@ -172,7 +172,7 @@
 func toEntry(t api.Target, now time.Duration) Entry {
 	return Entry{
 		ID: t.ID, Service: t.Service, Address: t.Address, DataCentre: t.DataCentre,
-		Slots: t.Slots, Leaving: t.Leaving, BornMs: t.BornMs,
+		Slots: t.Slots, Leaving: t.Leaving, StartedUnixMs: t.StartedUnixMs,
 		ColdMs: max(0, t.ColdUntil-now).Milliseconds(),
 	}
 }
@@ -212,7 +212,7 @@
 	for _, e := range u.Entries {
 		next[e.ID] = fromEntry(api.DirectoryEntry{
 			ID: e.ID, Service: e.Service, Address: e.Address, DataCentre: e.DataCentre, Slots: e.Slots,
-			Leaving: e.Leaving, BornMs: e.BornMs, ColdFor: time.Duration(e.ColdMs) * time.Millisecond,
+			Leaving: e.Leaving, StartedUnixMs: e.StartedUnixMs, ColdRemaining: time.Duration(e.ColdMs) * time.Millisecond,
 		}, now)
 	}
 	for _, id := range u.Removed {
--- a/internal/targetlist/list_test.go
+++ b/internal/targetlist/list_test.go
@@ -14,7 +14,7 @@
 
 // entry returns a warm target of the platform's list.
 func entry(id string, bornMs int64) api.DirectoryEntry {
-	return api.DirectoryEntry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, BornMs: bornMs}
+	return api.DirectoryEntry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, StartedUnixMs: bornMs}
 }
 
 // Guards against updates that lack a leaving target, a new incarnation or a cold
@@ -35,11 +35,11 @@
 	read(2*time.Second, leaving, entry("b", 1))
 	is.True(follower.Targets()[0].Leaving)
 	cold := entry("b", 2)
-	cold.ColdFor = 3 * time.Second
+	cold.ColdRemaining = 3 * time.Second
 	read(3*time.Second, cold)
 	is.Equal(len(follower.Targets()), 1)
 	is.Equal(follower.Targets()[0].ColdUntil, 6*time.Second)
-	cold.ColdFor = 2200 * time.Millisecond // the same end within the tolerance
+	cold.ColdRemaining = 2200 * time.Millisecond // the same end within the tolerance
 	is.Equal(len(read(4*time.Second, cold).Entries), 0)
 }
 
@@ -51,7 +51,7 @@
 		var l List
 		l.Replace(1, entries, 0)
 		is.Equal(len(l.Targets()), 1)
-		is.Equal(l.Targets()[0].BornMs, int64(2))
+		is.Equal(l.Targets()[0].StartedUnixMs, int64(2))
 	}
 }
 
@@ -109,7 +109,7 @@
 			var entries []api.DirectoryEntry
 			for i := range rapid.IntRange(0, 8).Draw(t, "targets") {
 				entries = append(entries, api.DirectoryEntry{ID: fmt.Sprint("t", i), Service: "s", Leaving: rapid.Bool().Draw(t, "leaving"),
-					BornMs: rapid.Int64Range(0, 1).Draw(t, "born")})
+					StartedUnixMs: rapid.Int64Range(0, 1).Draw(t, "born")})
 			}
 			u := reader.Replace(1+uint64(now/(4*time.Second)), entries, now)
 			if rapid.IntRange(0, 3).Draw(t, "missed") > 0 {
--- a/plugin/admin/admin_test.go
+++ b/plugin/admin/admin_test.go
@@ -45,7 +45,7 @@
 func (l *fakeLease) Valid() bool                         { return l.valid }
 func (l *fakeLease) Owner(string) (string, uint64, bool) { return "b", 3, true }
 func (l *fakeLease) MayHoldLease(p string) bool          { return l.mayHold[p] }
-func (l *fakeLease) Revision(p string) uint64            { return l.revisions[p] }
+func (l *fakeLease) PeerRevision(p string) uint64        { return l.revisions[p] }
 
 type fakeFleet struct {
 	api.Fleet
@@ -82,7 +82,7 @@
 		lease: &fakeLease{valid: true, mayHold: map[string]bool{}, revisions: map[string]uint64{}},
 		fleet: &fakeFleet{view: api.View{Revision: 7, Config: &fleetconfig.Config{
 			Pools: []fleetconfig.Pool{{Name: "matcher"}},
-		}, Out: map[string]bool{"dc-b": true}}},
+		}, DataCentresOut: map[string]bool{"dc-b": true}}},
 		control: &fakeControl{},
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/plugin/admin/http.go
+++ b/plugin/admin/http.go
@@ -87,7 +87,7 @@
 		out.Control = a.control.Status()
 	}
 	out.Ready, out.NotReady = a.ready()
-	for name, isOut := range view.Out {
+	for name, isOut := range view.DataCentresOut {
 		if isOut {
 			out.Out = append(out.Out, name)
 		}
@@ -109,7 +109,7 @@
 	for _, peer := range a.mesh.Peers() {
 		out.Peers = append(out.Peers, adminapi.PeerStatus{
 			Instance: peer, Reachable: a.mesh.Reachable(peer),
-			MayLease: a.lease.MayHoldLease(peer), Revision: a.lease.Revision(peer),
+			MayLease: a.lease.MayHoldLease(peer), Revision: a.lease.PeerRevision(peer),
 		})
 	}
 	return out
@@ -180,7 +180,7 @@
 		out.Waiting = append(out.Waiting, a.kernel.Settings.Instance)
 	}
 	for _, peer := range a.mesh.Peers() {
-		if a.lease != nil && a.lease.MayHoldLease(peer) && a.lease.Revision(peer) < out.Revision {
+		if a.lease != nil && a.lease.MayHoldLease(peer) && a.lease.PeerRevision(peer) < out.Revision {
 			out.Waiting = append(out.Waiting, peer)
 		}
 	}
--- a/plugin/control/client.go
+++ b/plugin/control/client.go
@@ -59,8 +59,9 @@
 // Submit implements api.Control. It returns the result of the change after a majority
 // of the disks has synced it and, with listed instances, a majority of all instances has
 // the view. A missing change id and an invalid document are reported in the result's
-// Error, a conflicting change in its Conflict. After an error the outcome is unknown;
-// the caller may submit again with the same change id, which is applied at most once.
+// Error, a conflicting change in its ConflictingChange. After an error the outcome is
+// unknown; the caller may submit again with the same change id, which is applied at most
+// once.
 func (c *Control) Submit(ctx context.Context, s api.Submission) (api.SubmitResult, error) {
 	if s.ChangeID == "" {
 		return api.SubmitResult{Error: "change id is missing"}, nil
@@ -90,18 +91,18 @@
 	return *r.Claim, nil
 }
 
-// Settle implements api.Control. It stores the outcome of holder's claim; a nil
+// SettleClaim implements api.Control. It stores the outcome of holder's claim; a nil
 // outcome releases the claim. It retries until ctx ends.
-func (c *Control) Settle(ctx context.Context, key api.ClaimKey, holder string, outcome *api.ClaimOutcome) error {
+func (c *Control) SettleClaim(ctx context.Context, key api.ClaimKey, holder string, outcome *api.ClaimOutcome) error {
 	_, err := c.command(ctx, methodSettle, fleetstate.Command{
 		ID: c.ids.next(), Settle: &fleetstate.Settle{Key: key, Holder: holder, Outcome: outcome},
 	})
 	return err
 }
 
-// OrderEpoch implements api.Control. It returns a new fencing token for orders to
+// NewOrderToken implements api.Control. It returns a new fencing token for orders to
 // the targets of the pool. It retries until ctx ends.
-func (c *Control) OrderEpoch(ctx context.Context, pool string) (uint64, error) {
+func (c *Control) NewOrderToken(ctx context.Context, pool string) (uint64, error) {
 	r, err := c.command(ctx, methodEpoch, fleetstate.Command{
 		ID: c.ids.next(), Epoch: &fleetstate.OrderEpoch{Pool: pool},
 	})
--- a/plugin/control/cluster_test.go
+++ b/plugin/control/cluster_test.go
@@ -345,7 +345,7 @@
 
 type lease struct{ *instance }
 
-func (l lease) Revision(peer string) uint64 {
+func (l lease) PeerRevision(peer string) uint64 {
 	if p := l.peer(peer); p != nil {
 		return fleet{p}.View().Revision
 	}
@@ -354,9 +354,9 @@
 
 func (lease) Valid() bool                         { return true }
 func (lease) Owner(string) (string, uint64, bool) { return "", 0, false }
-func (lease) Holds(string) (uint64, bool)         { return 0, false }
+func (lease) Owns(string) (uint64, bool)          { return 0, false }
 func (lease) MayHoldLease(string) bool            { return true }
-func (lease) SetPools([]string)                   {}
+func (lease) SeekOwnership([]string)              {}
 func (lease) Resign(context.Context) error        { return nil }
 func (lease) OnChange(func())                     {}
 
--- a/plugin/control/control_test.go
+++ b/plugin/control/control_test.go
@@ -17,7 +17,7 @@
 			c.waitLeader()
 			for _, name := range c.names {
 				base := c.view(name).Revision
-				r := c.submit(name, api.Submission{ChangeID: "change-" + name, Base: base, Config: document()})
+				r := c.submit(name, api.Submission{ChangeID: "change-" + name, BaseRevision: base, Config: document()})
 				c.is.Equal(r, api.SubmitResult{Revision: base + 1})
 				c.is.True(c.countInstancesAt(r.Revision) > len(c.names)/2)
 				c.pumpUntil("view everywhere", func() bool { return c.countInstancesAt(r.Revision) == len(c.names) })
--- a/plugin/control/discovered_test.go
+++ b/plugin/control/discovered_test.go
@@ -19,7 +19,7 @@
 // one can reach.
 type topology struct{ *instance }
 
-func (t topology) Controls() []string {
+func (t topology) ControlInstances() []string {
 	t.cluster.mu.Lock()
 	defer t.cluster.mu.Unlock()
 	var out []string
@@ -32,7 +32,7 @@
 }
 
 func (t topology) Leader() (string, uint64)      { return "", 0 }
-func (t topology) Entries() int                  { return 0 }
+func (t topology) EntryCount() int               { return 0 }
 func (t topology) OnLeader(func(string, uint64)) {}
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7400", i+1) }
@@ -97,7 +97,7 @@
 // is accepted.
 func (c *cluster) submitVersion(at string, version uint64) {
 	c.t.Helper()
-	r := c.submit(at, api.Submission{ChangeID: fmt.Sprint("v", version), Newest: true, Version: version, Document: fmt.Append(nil, "doc", version)})
+	r := c.submit(at, api.Submission{ChangeID: fmt.Sprint("v", version), OnNewestRevision: true, Version: version, Document: fmt.Append(nil, "doc", version)})
 	c.is.Equal(r.Error, "")
 }
 
@@ -285,7 +285,7 @@
 	l := c.leader()
 	r := c.running(l).control.replica
 	c.is.NoErr(r.log.Close()) // every write fails from now on
-	done := c.submitInBackground(l, api.Submission{ChangeID: "v4", Newest: true, Version: 4, Document: []byte("doc4")})
+	done := c.submitInBackground(l, api.Submission{ChangeID: "v4", OnNewestRevision: true, Version: 4, Document: []byte("doc4")})
 	c.pumpUntil("another leader", func() bool {
 		for _, n := range c.names {
 			if n != l && c.running(n).control.Status().Role == "leader" {
@@ -311,16 +311,16 @@
 	c.submitVersion(c.names[0], 5)
 	c.submitVersion(c.names[1], 4)
 	c.expectVersion(c.names[2], 5)
-	r := c.submit(c.names[1], api.Submission{ChangeID: "other", Newest: true, Version: 5, Document: []byte("other content")})
+	r := c.submit(c.names[1], api.Submission{ChangeID: "other", OnNewestRevision: true, Version: 5, Document: []byte("other content")})
 	c.is.Equal(r.Error, "")
 	c.expectVersion(c.names[0], 5)
 	out := func(id string, out bool) {
-		c.submit(c.names[2], api.Submission{ChangeID: id, Newest: true, DataCentre: "a", Out: out})
+		c.submit(c.names[2], api.Submission{ChangeID: id, OnNewestRevision: true, DataCentre: "a", Out: out})
 	}
 	out("1", true)
 	out("2", true)
 	c.submitVersion(c.names[0], 9)
-	c.is.True(c.view(c.leader()).Out["a"]) // a newer document does not bring it back
+	c.is.True(c.view(c.leader()).DataCentresOut["a"]) // a newer document does not bring it back
 	out("3", false)
-	c.pumpUntil("back", func() bool { return !c.view(c.leader()).Out["a"] })
+	c.pumpUntil("back", func() bool { return !c.view(c.leader()).DataCentresOut["a"] })
 }
--- a/plugin/control/fault_test.go
+++ b/plugin/control/fault_test.go
@@ -24,7 +24,7 @@
 			c := newCluster(t, 3, 1)
 			l := c.waitLeader()
 			c.submit("i3", api.Submission{ChangeID: "first", Config: document()})
-			done := c.submitInBackground("i3", api.Submission{ChangeID: "second", Base: 1, DataCentre: "a", Out: true})
+			done := c.submitInBackground("i3", api.Submission{ChangeID: "second", BaseRevision: 1, DataCentre: "a", Out: true})
 			for range ticks {
 				c.pump()
 			}
@@ -33,7 +33,7 @@
 			c.is.Equal(r, api.SubmitResult{Revision: 2})
 			c.start(l)
 			c.pumpUntil("view everywhere", func() bool { return c.countInstancesAt(2) == 4 })
-			c.is.Equal(c.view(l).Out, map[string]bool{"a": true})
+			c.is.Equal(c.view(l).DataCentresOut, map[string]bool{"a": true})
 			c.is.Equal(len(c.history("i3")), 2)
 		})
 	}
@@ -48,7 +48,7 @@
 	for _, name := range c.names[3:] {
 		c.isolate(name, false) // 3 of 7 remain: a quorum of the disks, but no majority of the instances
 	}
-	done := c.submitInBackground(l, api.Submission{ChangeID: "second", Base: 1, DataCentre: "a", Out: true})
+	done := c.submitInBackground(l, api.Submission{ChangeID: "second", BaseRevision: 1, DataCentre: "a", Out: true})
 	c.pumpUntil("commit", func() bool { return c.view(l).Revision == 2 })
 	c.pumpDuring(func() { time.Sleep(200 * time.Millisecond) })
 	c.is.Equal(len(done), 0) // committed, not accepted
@@ -66,10 +66,10 @@
 	b := c.submitInBackground("i3", api.Submission{ChangeID: "b", Config: document()})
 	ra, rb := c.await(a), c.await(b)
 	winner := "a"
-	if ra.Conflict != "" {
+	if ra.ConflictingChange != "" {
 		ra, rb, winner = rb, ra, "b"
 	}
-	c.is.Equal(rb, api.SubmitResult{Conflict: winner, Revision: 1})
+	c.is.Equal(rb, api.SubmitResult{ConflictingChange: winner, Revision: 1})
 	c.is.Equal(ra, api.SubmitResult{Revision: 1})
 }
 
@@ -93,7 +93,7 @@
 	c.submit("i0", api.Submission{ChangeID: "doc", Config: document()})
 	c.pumpDuring(func() {
 		for i := range 300 {
-			c.submitWithoutPump("i1", api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i + 1), DataCentre: "a", Out: i%2 == 0})
+			c.submitWithoutPump("i1", api.Submission{ChangeID: fmt.Sprint(i), BaseRevision: uint64(i + 1), DataCentre: "a", Out: i%2 == 0})
 		}
 	})
 	c.pumpUntil("changes at every replica", func() bool { return c.allReplicasAt(301) })
@@ -104,8 +104,8 @@
 		c.is.True(r.node.SnapshotIndex() > 300)
 	}
 	c.restartAll()
-	c.is.Equal(c.submit("i2", api.Submission{ChangeID: "7", Base: 8, DataCentre: "a"}), api.SubmitResult{Revision: 9})
-	c.is.Equal(c.submit("i2", api.Submission{ChangeID: "new", Base: 8, DataCentre: "a"}), api.SubmitResult{Conflict: "7", Revision: 9})
+	c.is.Equal(c.submit("i2", api.Submission{ChangeID: "7", BaseRevision: 8, DataCentre: "a"}), api.SubmitResult{Revision: 9})
+	c.is.Equal(c.submit("i2", api.Submission{ChangeID: "new", BaseRevision: 8, DataCentre: "a"}), api.SubmitResult{ConflictingChange: "7", Revision: 9})
 	c.is.Equal(c.view("i0").Revision, uint64(301))
 }
 
@@ -116,7 +116,7 @@
 	oldLeader := c.waitLeader()
 	c.submit("i3", api.Submission{ChangeID: "doc", Config: document()})
 	c.isolate(oldLeader, false)
-	isolated := c.submitInBackground(oldLeader, api.Submission{ChangeID: "isolated", Base: 1, DataCentre: "b", Out: true})
+	isolated := c.submitInBackground(oldLeader, api.Submission{ChangeID: "isolated", BaseRevision: 1, DataCentre: "b", Out: true})
 	r := c.running(oldLeader).control.replica
 	// No tick may pass here: the call comes from another goroutine, and after 20 ticks
 	// without a quorum the old leader would step down and refuse it.
@@ -124,7 +124,7 @@
 	c.pumpUntil("another leader", func() bool { return c.leader() != "" && c.running(oldLeader).control.Status().Role != "leader" })
 	c.is.Equal(len(r.pendingByIndex), 0) // the call is retried at another replica
 	for i := range 20 {
-		c.submit("i3", api.Submission{ChangeID: fmt.Sprint(i), Base: uint64(i + 1), DataCentre: "a", Out: i%2 == 0})
+		c.submit("i3", api.Submission{ChangeID: fmt.Sprint(i), BaseRevision: uint64(i + 1), DataCentre: "a", Out: i%2 == 0})
 	}
 	l := c.leader()
 	r = c.running(l).control.replica
@@ -141,7 +141,7 @@
 	c.is.True(c.running(oldLeader).control.replica.node.SnapshotIndex() > 20) // caught up by snapshot
 	c.is.Equal(c.leader(), l)
 	c.is.Equal(c.running(l).control.Status().Term, term)
-	c.is.Equal(c.await(isolated), api.SubmitResult{Conflict: "0", Revision: 2}) // another change was accepted first
+	c.is.Equal(c.await(isolated), api.SubmitResult{ConflictingChange: "0", Revision: 2}) // another change was accepted first
 }
 
 // TestDisksLost guards against a group that does not replace the replica of a lost disk,
@@ -165,7 +165,7 @@
 			m := c.running(l).control.replica.node.Members()
 			return m.Voter(id) && !m.Has(old) && len(m.Voters) == 3
 		})
-		r := c.submit("i3", api.Submission{ChangeID: fmt.Sprint(round), Base: uint64(round + 1), DataCentre: "a", Out: round%2 == 0})
+		r := c.submit("i3", api.Submission{ChangeID: fmt.Sprint(round), BaseRevision: uint64(round + 1), DataCentre: "a", Out: round%2 == 0})
 		c.is.Equal(r, api.SubmitResult{Revision: uint64(round + 2)})
 	}
 	c.restartAll()
@@ -232,7 +232,7 @@
 		return l != "" && len(c.running(l).control.replica.node.Members().Voters) == 3
 	})
 	c.stop("i0")
-	c.is.Equal(c.submit("i2", api.Submission{ChangeID: "out", Base: 1, DataCentre: "a", Out: true}), api.SubmitResult{Revision: 2})
+	c.is.Equal(c.submit("i2", api.Submission{ChangeID: "out", BaseRevision: 1, DataCentre: "a", Out: true}), api.SubmitResult{Revision: 2})
 }
 
 // TestLargeDocument guards against a document of the largest planned size that cannot be
@@ -333,7 +333,7 @@
 	c.is.Equal(claim("h2").State, api.ClaimRunning)
 	c.start(l)
 	c.call("i3", func(ctx context.Context, ctl *Control) error {
-		return ctl.Settle(ctx, key, "h1", &api.ClaimOutcome{Status: 201, Body: []byte("made")})
+		return ctl.SettleClaim(ctx, key, "h1", &api.ClaimOutcome{Status: 201, Body: []byte("made")})
 	})
 	c.restartAll()
 	r := claim("h3")
@@ -342,7 +342,7 @@
 	var epochs [2]uint64
 	for i := range epochs {
 		c.call("i3", func(ctx context.Context, ctl *Control) (err error) {
-			epochs[i], err = ctl.OrderEpoch(ctx, "p")
+			epochs[i], err = ctl.NewOrderToken(ctx, "p")
 			return err
 		})
 		c.restartAll()
@@ -380,13 +380,13 @@
 	c.submit("i3", api.Submission{ChangeID: "doc", Config: doc})
 	c.advanceWallClock(time.Hour)
 	c.pumpUntil("out", func() bool { return c.countInstancesAt(2) == 4 })
-	c.is.Equal(c.view("i3").Out, map[string]bool{"a": true})
+	c.is.Equal(c.view("i3").DataCentresOut, map[string]bool{"a": true})
 	c.stop(l)
 	c.advanceWallClock(time.Hour)
 	c.pumpUntil("back", func() bool { return c.countInstancesAt(3) == 3 })
 	c.start(l)
 	c.pumpUntil("back at the old leader", func() bool { return c.countInstancesAt(3) == 4 })
-	c.is.Equal(len(c.view(l).Out), 0)
+	c.is.Equal(len(c.view(l).DataCentresOut), 0)
 	for range 50 {
 		c.pump()
 	}
--- a/plugin/control/members.go
+++ b/plugin/control/members.go
@@ -110,7 +110,7 @@
 		return newest
 	}
 	for _, p := range c.mesh.Peers() {
-		newest = max(newest, c.lease.Revision(p))
+		newest = max(newest, c.lease.PeerRevision(p))
 	}
 	return newest
 }
--- a/plugin/control/replica.go
+++ b/plugin/control/replica.go
@@ -364,8 +364,8 @@
 func (r *replica) publishStatus() {
 	m := r.node.Members()
 	s := &api.ControlStatus{
-		Replica: r.id, Role: roleName(r), Leader: r.instanceOf(r.node.Leader()),
-		Term: r.node.Term(), Commit: r.node.CommitIndex(),
+		ReplicaID: r.id, Role: roleName(r), Leader: r.instanceOf(r.node.Leader()),
+		Term: r.node.Term(), CommitIndex: r.node.CommitIndex(),
 	}
 	for _, v := range m.Voters {
 		s.Voters = append(s.Voters, v.Instance)
--- a/plugin/control/server.go
+++ b/plugin/control/server.go
@@ -182,7 +182,7 @@
 // it. It returns at once for conflicts, for results without a revision, and if
 // instances are discovered. It returns the error of ctx when that ends first.
 func (c *Control) waitForMajority(ctx context.Context, s *api.SubmitResult) error {
-	if s.Conflict != "" {
+	if s.ConflictingChange != "" {
 		c.metrics.conflicts.Inc()
 		return nil
 	}
@@ -210,7 +210,7 @@
 	}
 	peers := c.mesh.Peers()
 	for _, p := range peers {
-		if c.lease.Revision(p) >= revision {
+		if c.lease.PeerRevision(p) >= revision {
 			count++
 		}
 	}
--- a/plugin/control/setup.go
+++ b/plugin/control/setup.go
@@ -98,7 +98,7 @@
 // this one.
 func (c *Control) replicaInstances() []string {
 	if c.topology != nil {
-		return c.topology.Controls()
+		return c.topology.ControlInstances()
 	}
 	return c.diskInstances
 }
--- a/plugin/directory/directory_test.go
+++ b/plugin/directory/directory_test.go
@@ -95,12 +95,12 @@
 	f.mu.Unlock()
 	f.onStatus(f.Status())
 }
-func (f *fakeCluster) Dial([]string)                 {}
-func (f *fakeCluster) OnLink(func(api.LinkChange))   {}
-func (f *fakeCluster) Controls() []string            { return []string{"c"} }
-func (f *fakeCluster) Leader() (string, uint64)      { return "c", 3 }
-func (f *fakeCluster) Entries() int                  { return len(f.peers) }
-func (f *fakeCluster) OnLeader(func(string, uint64)) {}
+func (f *fakeCluster) SetAddresses([]string)             {}
+func (f *fakeCluster) OnLinkChange(func(api.LinkChange)) {}
+func (f *fakeCluster) ControlInstances() []string        { return []string{"c"} }
+func (f *fakeCluster) Leader() (string, uint64)          { return "c", 3 }
+func (f *fakeCluster) EntryCount() int                   { return len(f.peers) }
+func (f *fakeCluster) OnLeader(func(string, uint64))     {}
 func (f *fakeCluster) Notify(to, method string, params any) error {
 	return f.NotifyAll([]string{to}, method, params)
 }
@@ -124,7 +124,7 @@
 	is.NoErr((&platform.Dialect{}).Provision(k))
 	is.NoErr(kernel.Provide[api.Mesh](k, f))
 	is.NoErr(kernel.Provide[api.Topology](k, f))
-	is.NoErr(kernel.Provide[api.Roster](k, f))
+	is.NoErr(kernel.Provide[api.LinkManager](k, f))
 	is.NoErr(kernel.Provide[api.Control](k, f))
 	d := &Directory{}
 	is.NoErr(d.Provision(k))
@@ -144,7 +144,7 @@
 	is := is.New(t)
 	list := &fakePlatform{targets: 6, minCallInterval: 90 * time.Millisecond}
 	d, f := newDirectory(t, list.start(t), 10)
-	for begin := time.Now(); !d.Known() || len(d.Targets()) < 6; time.Sleep(10 * time.Millisecond) {
+	for begin := time.Now(); !d.Loaded() || len(d.Targets()) < 6; time.Sleep(10 * time.Millisecond) {
 		is.True(time.Since(begin) < 5*time.Second)
 	}
 	list.mu.Lock()
--- a/plugin/directory/read.go
+++ b/plugin/directory/read.go
@@ -68,7 +68,7 @@
 	u := d.list.Replace(term, entries, now)
 	changed := u.At != previous
 	var listeners []func()
-	if changed || !d.Known() {
+	if changed || !d.Loaded() {
 		listeners = d.publish()
 	}
 	notify := changed || now-d.notifiedAt >= notifyInterval
@@ -101,11 +101,11 @@
 			return nil, err
 		}
 		out = append(out, p.Entries...)
-		d.unreadableEntries.Add(p.Unreadable)
-		if p.Next == "" {
+		d.unreadableEntries.Add(p.UnreadableEntries)
+		if p.NextToken == "" {
 			return out, nil
 		}
-		token = p.Next
+		token = p.NextToken
 	}
 	return nil, errors.Errorf("directory: list has more than %d pages", maxPages)
 }
@@ -144,7 +144,7 @@
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return api.DirectoryPage{}, errors.Errorf("directory: %s responded with status %d", d.client.Addr, resp.StatusCode())
 	}
-	return d.dialect.DirectoryPage(resp.Body())
+	return d.dialect.ParseDirectoryPage(resp.Body())
 }
 
 // notifyPeers sends an update to all linked instances, compressed if it has more than
@@ -185,7 +185,7 @@
 // changes if its own list is older. The list itself is not sent: links are lost under
 // load, and whole lists would add to the load.
 func (d *Directory) linkChanged(c api.LinkChange) {
-	if !c.Up || d.control == nil || !d.Known() {
+	if !c.Up || d.control == nil || !d.Loaded() {
 		return
 	}
 	d.mu.Lock()
--- a/plugin/directory/setup.go
+++ b/plugin/directory/setup.go
@@ -70,7 +70,7 @@
 	if d.dialect, err = kernel.Lookup[api.Dialect](c); err != nil {
 		return err
 	}
-	roster, err := kernel.Lookup[api.Roster](c)
+	roster, err := kernel.Lookup[api.LinkManager](c)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	d.mesh.Handle(updateMethod, d.handleUpdate)
 	d.mesh.Handle(packedMethod, d.handlePacked)
 	d.mesh.Handle(fetchMethod, d.handleFetch)
-	roster.OnLink(d.linkChanged)
+	roster.OnLinkChange(d.linkChanged)
 	return kernel.Provide[api.Directory](c, d)
 }
 
@@ -132,8 +132,8 @@
 	return p.list[i], true
 }
 
-// Known implements api.Directory. It reports whether a list was read or received.
-func (d *Directory) Known() bool { return d.current.Load() != nil }
+// Loaded implements api.Directory. It reports whether a list was read or received.
+func (d *Directory) Loaded() bool { return d.current.Load() != nil }
 
 // OnChange implements api.Directory. The function is called without the lock held.
 func (d *Directory) OnChange(f func()) {
--- a/plugin/dispatch/attempt.go
+++ b/plugin/dispatch/attempt.go
@@ -28,14 +28,14 @@
 	if h.boot != 0 {
 		a.boot = h.boot
 	}
-	a.ticket.Confirm(h.warmth, h.boot)
+	a.ticket.ResponseStarted(h.warmth, h.boot)
 }
 
 // finish reports the outcome with its cost in cost units. Only the first call has
 // an effect.
-func (a *attempt) finish(result api.Result, cost float64) {
+func (a *attempt) finish(result api.GrantResult, cost float64) {
 	a.once.Do(func() {
-		o := api.Outcome{Result: result, Cost: cost, Warmth: a.warmth, Boot: a.boot}
+		o := api.GrantOutcome{Result: result, Cost: cost, Warmth: a.warmth, BootNumber: a.boot}
 		a.call.d.recordHealth(a, o, a.failureDetail)
 		a.ticket.Done(o)
 	})
--- a/plugin/dispatch/attempt_test.go
+++ b/plugin/dispatch/attempt_test.go
@@ -189,7 +189,7 @@
 
 func keyedRequest() *api.Request {
 	r := serviceRequest("POST")
-	r.Key = "k1"
+	r.IdempotencyKey = "k1"
 	return r
 }
 
@@ -268,10 +268,10 @@
 	env := newTestEnv(t, target)
 	disconnected := make(chan struct{})
 	req := keyedRequest()
-	req.Gone = disconnected
+	req.Disconnected = disconnected
 	ended := make(chan error, 1)
 	go func() {
-		resp, err := env.d.Do(context.Background(), req)
+		resp, err := env.d.Dispatch(context.Background(), req)
 		if err == nil {
 			err = resp.Close()
 		}
--- a/plugin/dispatch/call.go
+++ b/plugin/dispatch/call.go
@@ -36,11 +36,12 @@
 	avoidTarget string        // target of the last failed attempt, "" = none
 }
 
-// Do implements api.Dispatcher. It runs the request, with retries, and returns
-// the response once its header is known; the caller must close it. An error
-// is an *api.Refusal that says whether the request may have run, unless api.Pool
-// returned another error. Cancelling ctx or closing r.Gone cancels the request.
-func (d *Dispatcher) Do(ctx context.Context, r *api.Request) (api.Answer, error) {
+// Dispatch implements api.Dispatcher. It runs the request, with retries, and
+// returns the response once its header is known; the caller must close it. An
+// error is an *api.Refusal that says whether the request may have run, unless
+// api.PoolQueue returned another error. Cancelling ctx or closing r.Disconnected
+// cancels the request.
+func (d *Dispatcher) Dispatch(ctx context.Context, r *api.Request) (api.Response, error) {
 	c, err := d.newCall(ctx, r)
 	if err != nil {
 		return nil, err
@@ -66,10 +67,10 @@
 	}
 	c := &call{d: d, req: r, id: d.nextID(), pool: pool, stats: d.stats.pool(r.Pool), startedAt: d.clock.Now()}
 	c.ctx, c.cancel = context.WithCancel(ctx)
-	if r.Gone != nil && r.Gone != ctx.Done() {
+	if r.Disconnected != nil && r.Disconnected != ctx.Done() {
 		go func() {
 			select {
-			case <-r.Gone:
+			case <-r.Disconnected:
 				c.cancel()
 			case <-c.ctx.Done():
 			}
@@ -79,7 +80,7 @@
 }
 
 // run makes attempts until one returns a response or no retry is allowed.
-func (c *call) run() (api.Answer, error) {
+func (c *call) run() (api.Response, error) {
 	for n := 0; ; n++ {
 		resp, err := c.runAttempt(n > 0)
 		if err == nil {
@@ -138,23 +139,23 @@
 // deadline returns the time on the kernel clock by which the response header must
 // arrive; 0 = none.
 func (c *call) deadline() time.Duration {
-	if c.req.Deadline <= 0 {
+	if c.req.ResponseTimeout <= 0 {
 		return 0
 	}
-	return c.startedAt + c.req.Deadline
+	return c.startedAt + c.req.ResponseTimeout
 }
 
 // deadlinePassed reports whether the deadline, if any, has passed.
 func (c *call) deadlinePassed() bool {
-	return c.req.Deadline > 0 && c.d.clock.Now() >= c.deadline()
+	return c.req.ResponseTimeout > 0 && c.d.clock.Now() >= c.deadline()
 }
 
 // runAttempt queues the request, waits for a grant and sends the request to the
 // target. A retry sets admitted: it keeps the admission of the first attempt.
-func (c *call) runAttempt(admitted bool) (api.Answer, error) {
-	ticket, err := c.d.pool.Enqueue(api.Demand{
+func (c *call) runAttempt(admitted bool) (api.Response, error) {
+	ticket, err := c.d.pool.Enqueue(api.SlotRequest{
 		ID: c.d.attemptID(c), Pool: c.req.Pool, Workspace: c.req.Workspace, Class: c.req.Class,
-		Hint: c.req.Hint, Deadline: c.deadline(), Avoid: c.avoidTarget, Admitted: admitted,
+		CostHint: c.req.CostHint, Deadline: c.deadline(), AvoidTarget: c.avoidTarget, Admitted: admitted,
 	})
 	if err != nil {
 		var r *api.Refusal
@@ -168,7 +169,7 @@
 		return nil, err
 	}
 	a := &attempt{call: c, ticket: ticket, grant: g}
-	if c.req.NonIdempotent && c.req.Key != "" && !c.claimed {
+	if c.req.NonIdempotent && c.req.IdempotencyKey != "" && !c.claimed {
 		if resp, err := c.claim(a); resp != nil || err != nil {
 			return resp, err
 		}
--- a/plugin/dispatch/callers_test.go
+++ b/plugin/dispatch/callers_test.go
@@ -52,7 +52,7 @@
 	is.Equal(got, "counted abc")
 	is.Equal(target.workRequests()[0].URL.RawQuery, "x=1")
 	is.Equal(target.workRequests()[0].Header.Get("Authorization"), "") // the caller's key is not passed to the target
-	is.Equal(env.outcome().Boot, uint64(3))
+	is.Equal(env.outcome().BootNumber, uint64(3))
 
 	got, err = fetch("POST", url+"/v1/chat/completions", `{"model":"m1"}`)
 	is.NoErr(err)
--- a/plugin/dispatch/claim.go
+++ b/plugin/dispatch/claim.go
@@ -20,14 +20,14 @@
 )
 
 func (c *call) claimKey() api.ClaimKey {
-	return api.ClaimKey{Workspace: c.req.Workspace, Pool: c.req.Pool, Key: c.req.Key}
+	return api.ClaimKey{Workspace: c.req.Workspace, Pool: c.req.Pool, Key: c.req.IdempotencyKey}
 }
 
 // claim writes the idempotency key of a non-idempotent request to the control log
 // before the request is sent. It returns nil and nil if the request may be sent,
 // the stored response if an earlier request with this key has finished, and a
 // refusal otherwise.
-func (c *call) claim(a *attempt) (api.Answer, error) {
+func (c *call) claim(a *attempt) (api.Response, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, claimTimeout)
 	defer cancel()
 	res, err := c.d.control.Claim(ctx, c.claimKey(), c.id)
@@ -81,7 +81,7 @@
 func (c *call) settleOnce(o *api.ClaimOutcome) error {
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	return c.d.control.Settle(ctx, c.claimKey(), c.id, o)
+	return c.d.control.SettleClaim(ctx, c.claimKey(), c.id, o)
 }
 
 // settleInBackground calls settleOnce up to backgroundSettleTries times, first after wait. A
@@ -104,7 +104,7 @@
 
 // claimOutcome returns the stored form of a response with size body bytes. It is
 // marked as truncated, without a body, above maxOutcomeBytes.
-func claimOutcome(h api.AnswerHead, body []byte, size int) *api.ClaimOutcome {
+func claimOutcome(h api.ResponseHead, body []byte, size int) *api.ClaimOutcome {
 	o := &api.ClaimOutcome{Status: h.Status, ContentType: h.Header["Content-Type"]}
 	if size > maxOutcomeBytes {
 		o.Truncated = true
@@ -117,22 +117,22 @@
 // storedResponse is the response of an earlier request, read from its claim.
 type storedResponse struct {
 	*bytes.Reader
-	head api.AnswerHead
+	head api.ResponseHead
 }
 
 // newStoredResponse returns the response of a stored outcome that is not truncated.
-func newStoredResponse(o *api.ClaimOutcome) api.Answer {
-	h := api.AnswerHead{Status: o.Status, Header: map[string]string{}, Length: int64(len(o.Body))}
+func newStoredResponse(o *api.ClaimOutcome) api.Response {
+	h := api.ResponseHead{Status: o.Status, Header: map[string]string{}, BodyBytes: int64(len(o.Body))}
 	if o.ContentType != "" {
 		h.Header["Content-Type"] = o.ContentType
 	}
 	return &storedResponse{Reader: bytes.NewReader(o.Body), head: h}
 }
 
-// Head implements api.Answer. Apart from the status, it has only the content type.
-func (r *storedResponse) Head() api.AnswerHead { return r.head }
+// Head implements api.Response. Apart from the status, it has only the content type.
+func (r *storedResponse) Head() api.ResponseHead { return r.head }
 
-// Close implements api.Answer. It has no effect.
+// Close implements api.Response. It has no effect.
 func (r *storedResponse) Close() error { return nil }
 
 var _ io.Reader = (*storedResponse)(nil)
--- a/plugin/dispatch/fakes_test.go
+++ b/plugin/dispatch/fakes_test.go
@@ -205,12 +205,12 @@
 	targets        []*fakeTarget
 	withholdGrants bool // do not grant requests
 	refuse         func(n int) *api.Refusal
-	demands        []api.Demand
-	outcomes       []api.Outcome
+	demands        []api.SlotRequest
+	outcomes       []api.GrantOutcome
 	cancels        int
-	ended          chan api.Outcome
+	ended          chan api.GrantOutcome
 
-	confirmed atomic.Value // api.Warmth of the last Confirm
+	confirmed atomic.Value // api.Warmth of the last ResponseStarted
 }
 
 type fakeTicket struct {
@@ -219,7 +219,7 @@
 	done  bool
 }
 
-func (p *fakePool) Enqueue(d api.Demand) (api.Ticket, error) {
+func (p *fakePool) Enqueue(d api.SlotRequest) (api.Ticket, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.demands = append(p.demands, d)
@@ -230,7 +230,7 @@
 	}
 	t := &fakeTicket{p: p, grant: make(chan api.Grant, 1)}
 	if !p.withholdGrants {
-		t.grant <- p.choose(d.Avoid)
+		t.grant <- p.choose(d.AvoidTarget)
 	}
 	return t, nil
 }
@@ -248,9 +248,9 @@
 func (t *fakeTicket) Granted() <-chan api.Grant { return t.grant }
 func (t *fakeTicket) Refusal() *api.Refusal     { return nil }
 
-func (t *fakeTicket) Confirm(w api.Warmth, _ uint64) { t.p.confirmed.Store(w) }
+func (t *fakeTicket) ResponseStarted(w api.Warmth, _ uint64) { t.p.confirmed.Store(w) }
 
-func (t *fakeTicket) Done(o api.Outcome) {
+func (t *fakeTicket) Done(o api.GrantOutcome) {
 	t.p.mu.Lock()
 	defer t.p.mu.Unlock()
 	if t.done {
@@ -318,7 +318,7 @@
 	return api.ClaimResult{State: api.ClaimNew}, nil
 }
 
-func (c *fakeControl) Settle(_ context.Context, k api.ClaimKey, _ string, o *api.ClaimOutcome) error {
+func (c *fakeControl) SettleClaim(_ context.Context, k api.ClaimKey, _ string, o *api.ClaimOutcome) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o == nil {
@@ -366,10 +366,10 @@
 	c := kernel.NewContext(s, slog.New(slog.DiscardHandler), kernel.NewClock())
 	env := &testEnv{
 		t: t, kernelCtx: c, d: &Dispatcher{}, lease: &fakeLease{}, fleet: &fleet.Holder{},
-		pool:    &fakePool{targets: targets, ended: make(chan api.Outcome, 1<<16)},
+		pool:    &fakePool{targets: targets, ended: make(chan api.GrantOutcome, 1<<16)},
 		control: &fakeControl{claims: map[api.ClaimKey]api.ClaimResult{}, settled: make(chan *api.ClaimOutcome, 64)},
 	}
-	must(t, errors.Join(env.fleet.Provision(c), kernel.Provide[api.Pool](c, env.pool), kernel.Provide[api.Lease](c, env.lease),
+	must(t, errors.Join(env.fleet.Provision(c), kernel.Provide[api.PoolQueue](c, env.pool), kernel.Provide[api.Lease](c, env.lease),
 		kernel.Provide[api.Control](c, env.control), env.d.Provision(c)))
 	env.fleet.Install(&api.View{Revision: 1, Config: config(targets...)})
 	t.Cleanup(func() {
@@ -388,10 +388,10 @@
 }
 
 // do runs a request and reads the whole response.
-func (env *testEnv) do(req *api.Request) (string, api.AnswerHead, error) {
-	resp, err := env.d.Do(context.Background(), req)
+func (env *testEnv) do(req *api.Request) (string, api.ResponseHead, error) {
+	resp, err := env.d.Dispatch(context.Background(), req)
 	if err != nil {
-		return "", api.AnswerHead{}, err
+		return "", api.ResponseHead{}, err
 	}
 	defer resp.Close()
 	b, err := io.ReadAll(resp)
@@ -399,7 +399,7 @@
 }
 
 // wantBody runs a request and requires the response to have the body.
-func (env *testEnv) wantBody(req *api.Request, body string) api.AnswerHead {
+func (env *testEnv) wantBody(req *api.Request, body string) api.ResponseHead {
 	env.t.Helper()
 	got, head, err := env.do(req)
 	if err != nil || got != body {
@@ -409,7 +409,7 @@
 }
 
 // outcome waits for the outcome of an attempt.
-func (env *testEnv) outcome() api.Outcome {
+func (env *testEnv) outcome() api.GrantOutcome {
 	env.t.Helper()
 	return receive(env.t, env.pool.ended)
 }
--- a/plugin/dispatch/faults_test.go
+++ b/plugin/dispatch/faults_test.go
@@ -141,7 +141,7 @@
 	{name: "refused by the queue", method: "POST", t1Script: respondOK, prepare: refuseFrom(1), code: "queue_full", run: api.NotRun, sends: "0 0"},
 	{name: "refused by the queue after a send", method: "GET", t1Script: resetConn, prepare: refuseFrom(2), code: "queue_full", run: api.RunUnknown, results: "failed", sends: "1 0"},
 	{name: "unknown pool", method: "GET", t1Script: respondOK, prepare: func(_ *testEnv, q *api.Request) { q.Pool = "none" }, code: codeUnknownPool, run: api.NotRun, sends: "0 0"},
-	{name: "deadline while the target works", method: "GET", t1Script: stayOpen, t2Script: respondOK, prepare: func(_ *testEnv, q *api.Request) { q.Deadline = time.Second },
+	{name: "deadline while the target works", method: "GET", t1Script: stayOpen, t2Script: respondOK, prepare: func(_ *testEnv, q *api.Request) { q.ResponseTimeout = time.Second },
 		code: codeDeadline, run: api.RunUnknown, results: "failed", sends: "1 0"},
 	{name: "switching protocols", method: "POST", t1Script: func(w *scriptConn, _ *receivedRequest, _ int) { w.raw("HTTP/1.1 101 X\r\n\r\n") },
 		code: codeTargetFailed, run: api.RunUnknown, results: "failed", sends: "1 0"},
@@ -191,7 +191,7 @@
 
 func takeDataCentreOut(env *testEnv, _ *api.Request) {
 	v := *env.fleet.View()
-	v.Revision, v.Out = v.Revision+1, map[string]bool{"amman-a": true}
+	v.Revision, v.DataCentresOut = v.Revision+1, map[string]bool{"amman-a": true}
 	env.fleet.Install(&v)
 }
 
--- a/plugin/dispatch/header.go
+++ b/plugin/dispatch/header.go
@@ -19,10 +19,10 @@
 }
 
 // responseHeader converts the target's response header for the caller. Repeated
-// headers go to Extra. A length of -1 means unknown.
-func (c *call) responseHeader(a *attempt, x *exchange, length int64) api.AnswerHead {
-	h := api.AnswerHead{
-		Status: x.resp.StatusCode(), Target: a.grant.Target, Length: length,
+// headers go to RepeatedHeaders. A length of -1 means unknown.
+func (c *call) responseHeader(a *attempt, x *exchange, length int64) api.ResponseHead {
+	h := api.ResponseHead{
+		Status: x.resp.StatusCode(), Target: a.grant.Target, BodyBytes: length,
 		Header: make(map[string]string, 8),
 	}
 	connectionOnly := connectionOptions(string(x.resp.Header.Peek("Connection")))
@@ -32,7 +32,7 @@
 			continue
 		}
 		if _, ok := h.Header[name]; ok {
-			h.Extra = append(h.Extra, [2]string{name, string(v)})
+			h.RepeatedHeaders = append(h.RepeatedHeaders, [2]string{name, string(v)})
 			continue
 		}
 		h.Header[name] = string(v)
--- a/plugin/dispatch/health.go
+++ b/plugin/dispatch/health.go
@@ -29,7 +29,7 @@
 // observe stores an outcome and returns the changes as event steps, or nil if there
 // are none. It ignores cancelled attempts and attempts that were not started,
 // because they do not depend on the target's health.
-func (h *healthTracker) observe(target string, o api.Outcome) []string {
+func (h *healthTracker) observe(target string, o api.GrantOutcome) []string {
 	if o.Result != api.ResultOK && o.Result != api.ResultFailed {
 		return nil
 	}
@@ -40,8 +40,8 @@
 	if o.Warmth != api.WarmthUnknown {
 		now.warmth = o.Warmth
 	}
-	if o.Boot != 0 {
-		now.boot = o.Boot
+	if o.BootNumber != 0 {
+		now.boot = o.BootNumber
 	}
 	if now == old {
 		return nil
@@ -89,7 +89,7 @@
 
 // recordHealth records changes of a target's health as events. Changes between failing
 // and answering are also logged.
-func (d *Dispatcher) recordHealth(a *attempt, o api.Outcome, detail string) {
+func (d *Dispatcher) recordHealth(a *attempt, o api.GrantOutcome, detail string) {
 	for _, step := range d.health.observe(a.grant.Target, o) {
 		d.events.Record(kernel.Event{
 			Kind: "target", Step: step, Pool: a.call.req.Pool, Target: a.grant.Target,
--- a/plugin/dispatch/index.go
+++ b/plugin/dispatch/index.go
@@ -50,7 +50,7 @@
 	if !ok {
 		return errTargetUnknown
 	}
-	if x.view.Out[t.DataCentre] {
+	if x.view.DataCentresOut[t.DataCentre] {
 		return errDataCentreOut
 	}
 	return nil
--- a/plugin/dispatch/plain.go
+++ b/plugin/dispatch/plain.go
@@ -21,7 +21,7 @@
 	attempt       *attempt
 	exchange      *exchange
 	streamID      string // for a cancel at the engine, "" = none
-	head          api.AnswerHead
+	head          api.ResponseHead
 	buffered      []byte // bytes read ahead, not yet delivered
 	bodyStart     []byte // first bytes of the body, up to maxBufferedBytes, for usage and claims
 	receivedBytes int    // of the body
@@ -30,14 +30,14 @@
 
 // openPlain returns a response after reading a short body completely. A long body is
 // passed through as it arrives.
-func (c *call) openPlain(a *attempt, x *exchange, state targetState) (api.Answer, error) {
+func (c *call) openPlain(a *attempt, x *exchange, state targetState) (api.Response, error) {
 	length := int64(x.resp.Header.ContentLength())
 	if length < 0 {
 		length = -1
 	}
 	r := &plainResponse{call: c, attempt: a, exchange: x, streamID: state.streamID, head: c.responseHeader(a, x, length)}
 	if x.body == nil {
-		r.head.Length = length
+		r.head.BodyBytes = length
 		r.complete()
 		return r, nil
 	}
@@ -64,14 +64,14 @@
 // response is complete if the body ends there.
 func (r *plainResponse) readAhead() error {
 	var b bytes.Buffer
-	if r.head.Length > 0 {
-		b.Grow(int(r.head.Length) + bytes.MinRead) // the last Read, which returns io.EOF, needs free space, too
+	if r.head.BodyBytes > 0 {
+		b.Grow(int(r.head.BodyBytes) + bytes.MinRead) // the last Read, which returns io.EOF, needs free space, too
 	}
 	n, err := io.CopyN(&b, readFunc(r.readTarget), maxBufferedBytes+1)
 	r.buffered = b.Bytes()
 	if err == io.EOF {
 		r.complete()
-		r.head.Length = n
+		r.head.BodyBytes = n
 		return nil
 	}
 	return err
@@ -108,11 +108,11 @@
 	return f
 }
 
-// Head implements api.Answer. The length is that of the body, or -1 if unknown.
-func (r *plainResponse) Head() api.AnswerHead { return r.head }
+// Head implements api.Response. The length is that of the body, or -1 if unknown.
+func (r *plainResponse) Head() api.ResponseHead { return r.head }
 
-// Read implements api.Answer. For a truncated body it returns an *api.Refusal, and an
-// error that the caller closed the connection if the request was cancelled.
+// Read implements api.Response. For a truncated body it returns an *api.Refusal, and
+// an error that the caller closed the connection if the request was cancelled.
 func (r *plainResponse) Read(p []byte) (int, error) {
 	if len(r.buffered) > 0 {
 		n := copy(p, r.buffered)
@@ -164,7 +164,7 @@
 
 // resultForStatus returns the result of an attempt with a complete response. The
 // statuses by which targets refuse work count as failed.
-func resultForStatus(status int) api.Result {
+func resultForStatus(status int) api.GrantResult {
 	switch status {
 	case 429, 502, 503, 504:
 		return api.ResultFailed
@@ -194,7 +194,7 @@
 	r.call.cancel()
 }
 
-// Close implements api.Answer. It cancels an incomplete response, except one of a
+// Close implements api.Response. It cancels an incomplete response, except one of a
 // plain service under a claim: that is read to its end in the background, so that a
 // resend receives the stored outcome.
 func (r *plainResponse) Close() error {
--- a/plugin/dispatch/setup.go
+++ b/plugin/dispatch/setup.go
@@ -35,7 +35,7 @@
 // Dispatcher implements api.Dispatcher and the kernel's plug-in interfaces. Provision
 // must be called before use.
 type Dispatcher struct {
-	pool    api.Pool
+	pool    api.PoolQueue
 	lease   api.Lease
 	control api.Control
 	fleet   api.Fleet
@@ -60,7 +60,7 @@
 // on and provides api.Dispatcher. It fails if one of them is missing.
 func (d *Dispatcher) Provision(c *kernel.Context) error {
 	var err error
-	if d.pool, err = kernel.Lookup[api.Pool](c); err != nil {
+	if d.pool, err = kernel.Lookup[api.PoolQueue](c); err != nil {
 		return err
 	}
 	if d.lease, err = kernel.Lookup[api.Lease](c); err != nil {
--- a/plugin/dispatch/start.go
+++ b/plugin/dispatch/start.go
@@ -16,7 +16,7 @@
 // header is known, and its body or first event where that is read ahead. After a
 // failure the outcome of the attempt has been reported, or will be once the target
 // has confirmed the cancellation.
-func (c *call) start(a *attempt) (api.Answer, error) {
+func (c *call) start(a *attempt) (api.Response, error) {
 	x, f := c.exchange(a)
 	if f != nil {
 		return nil, c.reportFailure(a, f)
@@ -138,7 +138,7 @@
 func (c *call) timeLimits() timeLimits {
 	deadline := time.Now().Add(c.pool.RequestLimit())
 	limits := timeLimits{ioTimeout: c.pool.SilenceLimit(), headerDeadline: deadline, deadline: deadline}
-	if c.req.Deadline > 0 {
+	if c.req.ResponseTimeout > 0 {
 		if t := time.Now().Add(c.deadline() - c.d.clock.Now()); t.Before(deadline) {
 			limits.headerDeadline = t
 		}
--- a/plugin/dispatch/stream.go
+++ b/plugin/dispatch/stream.go
@@ -24,7 +24,7 @@
 	call     *call
 	attempt  *attempt
 	exchange *exchange
-	head     api.AnswerHead
+	head     api.ResponseHead
 
 	reader      *sse.Reader
 	sequencer   sequencer
@@ -44,7 +44,7 @@
 
 // openStream returns the response after it has read the first event. A target that
 // fails before its first event can thus still be replaced by another one.
-func (c *call) openStream(a *attempt, x *exchange, state targetState) (api.Answer, error) {
+func (c *call) openStream(a *attempt, x *exchange, state targetState) (api.Response, error) {
 	r := &streamResponse{
 		call: c, attempt: a, exchange: x, head: c.responseHeader(a, x, -1), streamID: state.streamID,
 		reader: sse.NewReader(readFunc(x.read), c.d.eventMemory), lastEventAt: time.Now(), deadline: x.conn.Hard(),
@@ -67,12 +67,12 @@
 	return f
 }
 
-// Head implements api.Answer. The length of a stream is unknown (-1).
-func (r *streamResponse) Head() api.AnswerHead { return r.head }
+// Head implements api.Response. The length of a stream is unknown (-1).
+func (r *streamResponse) Head() api.ResponseHead { return r.head }
 
-// Read implements api.Answer. It blocks until an event can be delivered. If the stream
-// is broken and cannot be resumed it returns an *api.Refusal, and an error that the
-// caller closed the connection if the request was cancelled.
+// Read implements api.Response. It blocks until an event can be delivered. If the
+// stream is broken and cannot be resumed it returns an *api.Refusal, and an error that
+// the caller closed the connection if the request was cancelled.
 func (r *streamResponse) Read(p []byte) (int, error) {
 	for len(r.pending) == 0 {
 		if r.finalErr != nil {
@@ -167,7 +167,7 @@
 
 // abort ends an incomplete stream: it cancels the stream at the engine, and then
 // reports the outcome. err is returned by later reads.
-func (r *streamResponse) abort(result api.Result, err error) {
+func (r *streamResponse) abort(result api.GrantResult, err error) {
 	if r.finalErr != nil {
 		return
 	}
@@ -189,7 +189,7 @@
 	}
 }
 
-// Close implements api.Answer. An incomplete stream is cancelled at the engine
+// Close implements api.Response. An incomplete stream is cancelled at the engine
 // before the engine's slot is freed.
 func (r *streamResponse) Close() error {
 	r.abort(api.ResultCancelled, errCallerDisconnected)
--- a/plugin/entry/body.go
+++ b/plugin/entry/body.go
@@ -13,7 +13,7 @@
 // complete.
 type responseBody struct {
 	server     *Server
-	resp       api.Answer
+	resp       api.Response
 	release    func()
 	id         string
 	events     bool   // server-sent events
@@ -23,7 +23,7 @@
 	closed     bool
 }
 
-func newResponseBody(s *Server, resp api.Answer, header *api.AnswerHead, id string, release func()) *responseBody {
+func newResponseBody(s *Server, resp api.Response, header *api.ResponseHead, id string, release func()) *responseBody {
 	contentType := strings.ToLower(header.Header["Content-Type"])
 	return &responseBody{server: s, resp: resp, release: release, id: id, events: strings.HasPrefix(contentType, "text/event-stream")}
 }
--- a/plugin/entry/entry_test.go
+++ b/plugin/entry/entry_test.go
@@ -37,7 +37,7 @@
 	requests []api.Request
 }
 
-func (d *fakeDispatcher) Do(_ context.Context, r *api.Request) (api.Answer, error) {
+func (d *fakeDispatcher) Dispatch(_ context.Context, r *api.Request) (api.Response, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.requests = append(d.requests, *r)
@@ -46,9 +46,9 @@
 
 type fakeResponse struct{ io.Reader }
 
-func (fakeResponse) Head() api.AnswerHead {
+func (fakeResponse) Head() api.ResponseHead {
 	h := map[string]string{"Content-Type": "text/plain", "Set-Cookie": "a=1"}
-	return api.AnswerHead{Status: 200, Length: 2, Target: "t1", Header: h, Extra: [][2]string{{"Set-Cookie", "b=2"}}}
+	return api.ResponseHead{Status: 200, BodyBytes: 2, Target: "t1", Header: h, RepeatedHeaders: [][2]string{{"Set-Cookie", "b=2"}}}
 }
 func (fakeResponse) Close() error { return nil }
 
@@ -192,10 +192,10 @@
 	is.Equal(resp.Header.Get("X-Target"), "t1")
 	is.Equal(resp.Header.Values("Set-Cookie"), []string{"a=1", "b=2"})
 	r := d.requests[0]
-	r.Gone, r.Body = nil, nil
+	r.Disconnected, r.Body = nil, nil
 	is.Equal(r, api.Request{
-		ID: "r7", Workspace: "w1", Pool: "svc", Method: "POST", Path: "/a/b?c=d", Key: "k1", NonIdempotent: true,
-		Class: api.ClassLong, Hint: 2.5, Deadline: 1500 * time.Millisecond,
+		ID: "r7", Workspace: "w1", Pool: "svc", Method: "POST", Path: "/a/b?c=d", IdempotencyKey: "k1", NonIdempotent: true,
+		Class: api.ClassLong, CostHint: 2.5, ResponseTimeout: 1500 * time.Millisecond,
 		Header: map[string]string{"X-Request-Id": "r7", "Idempotency-Key": "k1", "X-A": "1, 2", "X-Fold": "a b"},
 	})
 }
--- a/plugin/entry/handler.go
+++ b/plugin/entry/handler.go
@@ -45,7 +45,7 @@
 	}
 	s.stats.countRequest(r.Pool)
 	workCtx, cancel := context.WithCancel(context.Background())
-	r.Gone = workCtx.Done()
+	r.Disconnected = workCtx.Done()
 	stopWatch := func() {}
 	if conn != nil {
 		stopWatch = conn.Watch(func() { s.stats.disconnected.Inc(); cancel() })
@@ -58,7 +58,7 @@
 // disconnects. release is called once the request no longer needs its resources and the
 // watch of the caller's connection.
 func (s *Server) forward(ctx *fasthttp.RequestCtx, workCtx context.Context, r *api.Request, release func()) {
-	resp, err := s.dispatcher.Do(workCtx, r)
+	resp, err := s.dispatcher.Dispatch(workCtx, r)
 	if err != nil {
 		release()
 		s.writeRefusal(ctx, asRefusal(err), r.ID)
@@ -68,36 +68,36 @@
 	s.writeHeader(ctx, &header, r.ID)
 	if r.Method == fasthttp.MethodHead {
 		defer release()
-		if header.Length >= 0 {
-			ctx.Response.Header.SetContentLength(int(header.Length))
+		if header.BodyBytes >= 0 {
+			ctx.Response.Header.SetContentLength(int(header.BodyBytes))
 		}
 		ctx.Response.SkipBody = true
 		resp.Close() //nolint:errcheck // a HEAD response has no body
 		return
 	}
-	if header.Length >= 0 && header.Length <= maxBufferedResponse {
+	if header.BodyBytes >= 0 && header.BodyBytes <= maxBufferedResponse {
 		defer release()
-		s.writeBuffered(ctx, resp, int(header.Length), r.ID)
+		s.writeBuffered(ctx, resp, int(header.BodyBytes), r.ID)
 		return
 	}
-	if header.Length < 0 && !ctx.Request.Header.IsHTTP11() {
+	if header.BodyBytes < 0 && !ctx.Request.Header.IsHTTP11() {
 		defer release()
 		s.writeBuffered(ctx, resp, 0, r.ID)
 		return
 	}
 	body := newResponseBody(s, resp, &header, r.ID, release)
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.Response.SetBodyStream(body, int(header.Length))
+	ctx.Response.SetBodyStream(body, int(header.BodyBytes))
 }
 
 // writeHeader sets status and headers of the response.
-func (s *Server) writeHeader(ctx *fasthttp.RequestCtx, header *api.AnswerHead, id string) {
+func (s *Server) writeHeader(ctx *fasthttp.RequestCtx, header *api.ResponseHead, id string) {
 	h := &ctx.Response.Header
 	ctx.Response.SetStatusCode(header.Status)
 	for k, v := range header.Header {
 		h.Set(k, v)
 	}
-	for _, kv := range header.Extra {
+	for _, kv := range header.RepeatedHeaders {
 		h.Add(kv[0], kv[1])
 	}
 	h.Set(headerID, id)
@@ -110,7 +110,7 @@
 // writeBuffered reads the whole body before it writes the response: a short one that has
 // arrived already, or one of unknown length for an HTTP/1.0 caller. Without chunked
 // coding such a caller would take a truncated response for a complete one.
-func (s *Server) writeBuffered(ctx *fasthttp.RequestCtx, resp api.Answer, length int, id string) {
+func (s *Server) writeBuffered(ctx *fasthttp.RequestCtx, resp api.Response, length int, id string) {
 	defer resp.Close() //nolint:errcheck // the body was read completely, or a refusal replaces it
 	var b bytes.Buffer
 	b.Grow(length + bytes.MinRead)
--- a/plugin/entry/request.go
+++ b/plugin/entry/request.go
@@ -156,7 +156,7 @@
 		if err != nil || !(n > 0) || math.IsInf(n, 0) {
 			return badRequest(headerCostHint + " must be a positive number")
 		}
-		r.Hint = n
+		r.CostHint = n
 	}
 	switch c := api.CostClass(h.Peek(headerCostClass)); c {
 	case api.ClassUnknown, api.ClassLong, api.ClassQuick, api.ClassLabel:
@@ -169,7 +169,7 @@
 		if err != nil || n < 1 || n > maxDeadline.Milliseconds() {
 			return badRequest(headerDeadline + " must be a number of milliseconds of at most one day")
 		}
-		r.Deadline = time.Duration(n) * time.Millisecond
+		r.ResponseTimeout = time.Duration(n) * time.Millisecond
 	}
 	return nil
 }
@@ -177,8 +177,8 @@
 // parseIdempotency reads the idempotency key and decides whether the request may be sent
 // more than once.
 func parseIdempotency(r *api.Request, h *fasthttp.RequestHeader, p fleetconfig.Pool) *api.Refusal {
-	r.Key = string(h.Peek(headerIdempotencyKey))
-	if r.Key != "" && !isVisible(r.Key, maxIdempotencyKey) {
+	r.IdempotencyKey = string(h.Peek(headerIdempotencyKey))
+	if r.IdempotencyKey != "" && !isVisible(r.IdempotencyKey, maxIdempotencyKey) {
 		return badRequest(headerIdempotencyKey + " must be 1 to 255 visible ASCII characters")
 	}
 	nonIdempotentMethod := r.Method == fasthttp.MethodPost || r.Method == fasthttp.MethodPatch
--- a/plugin/forward/call.go
+++ b/plugin/forward/call.go
@@ -63,7 +63,7 @@
 
 // attemptFailure describes why an attempt returned no usable response.
 type attemptFailure struct {
-	outcome api.WorkOutcome
+	outcome api.AttemptOutcome
 	step    string
 	cause   error
 	// notRun is true only if the target has certainly not run the request.
@@ -81,22 +81,22 @@
 	return f.placer.Precheck((&call{fwd: f, req: r}).work())
 }
 
-// TurnedAway implements api.Forwarder. Requests to plain services are not counted.
-func (f *Forwarder) TurnedAway(r *api.ForwardRequest) {
+// ReportShed implements api.Forwarder. Requests to plain services are not counted.
+func (f *Forwarder) ReportShed(r *api.ForwardRequest) {
 	if r.Engine != nil {
-		f.placer.TurnedAway((&call{fwd: f, req: r}).work())
+		f.placer.ReportShed((&call{fwd: f, req: r}).work())
 	}
 }
 
 // Forward implements api.Forwarder.
-func (f *Forwarder) Forward(ctx context.Context, r *api.ForwardRequest) (api.ForwardAnswer, error) {
+func (f *Forwarder) Forward(ctx context.Context, r *api.ForwardRequest) (api.ForwardResponse, error) {
 	c := &call{fwd: f, req: r, ctx: ctx, log: f.log.With("request", r.ID)}
 	f.retryBudget.CountRequest(r.Service, f.clock.Now())
 	return c.run()
 }
 
 // run makes attempts until one returns a response or no further attempt is allowed.
-func (c *call) run() (api.ForwardAnswer, error) {
+func (c *call) run() (api.ForwardResponse, error) {
 	for {
 		att, err := c.requestPlacement()
 		if err != nil {
@@ -127,7 +127,7 @@
 // callerDisconnected returns a non-nil error if the caller has disconnected or the
 // request's context has ended.
 func (c *call) callerDisconnected(failure *attemptFailure) error {
-	if errors.Is(failure.cause, context.Canceled) && failure.outcome == api.WorkUnsent {
+	if errors.Is(failure.cause, context.Canceled) && failure.outcome == api.AttemptUnsent {
 		return context.Canceled
 	}
 	return c.ctx.Err()
@@ -156,12 +156,12 @@
 }
 
 // work describes the request to the placer.
-func (c *call) work() *api.Work {
-	return &api.Work{
+func (c *call) work() *api.PlacementRequest {
+	return &api.PlacementRequest{
 		RequestID: c.req.ID, Workspace: c.req.Workspace, Route: c.req.Route, Service: c.req.Service, Engine: c.req.Engine,
-		PromptTokens: c.req.Fields.PromptTokens, OutputTokens: c.fwd.outputLengths.estimate(c.req), Prompt: c.req.Fields.Prompt,
-		Objective: c.req.Arrived - c.req.Waited + c.req.Route.Objective, Deadline: c.req.Deadline,
-		Tried: c.triedTargets, Resumes: c.lastEventID != "",
+		PromptTokens: c.req.Fields.PromptTokens, ExpectedOutputTokens: c.fwd.outputLengths.estimate(c.req), Prompt: c.req.Fields.Prompt,
+		Objective: c.req.ReceivedAt - c.req.PriorWait + c.req.Route.Objective, Deadline: c.req.Deadline,
+		TriedTargets: c.triedTargets, Resumed: c.lastEventID != "",
 	}
 }
 
@@ -174,7 +174,7 @@
 	switch {
 	case c.remaining() < minAttemptTime:
 		return "not enough time before the deadline"
-	case failure.outcome == api.WorkUnreachable || failure.outcome == api.WorkUnsent:
+	case failure.outcome == api.AttemptUnreachable || failure.outcome == api.AttemptUnsent:
 		if c.unsentAttempts >= maxUnsentAttempts {
 			return "too many attempts without a connection"
 		}
@@ -199,7 +199,7 @@
 	case c.remaining() < minAttemptTime:
 		return &api.Refusal{Code: codeDeadline, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: failure.step,
 			Message: "no target took the request in time"}
-	case failure.outcome == api.WorkUnreachable || failure.outcome == api.WorkUnsent:
+	case failure.outcome == api.AttemptUnreachable || failure.outcome == api.AttemptUnsent:
 		return &api.Refusal{Code: codeUnreachable, Status: fasthttp.StatusServiceUnavailable, Run: api.NotRun, Step: failure.step,
 			Message: "no target accepted a connection", RetryAfter: refusedRetryAfter}
 	}
@@ -219,7 +219,7 @@
 
 // open sends the request to the target and reads the response as far as needed to decide
 // whether it can be passed on.
-func (a *attempt) open() (api.ForwardAnswer, *attemptFailure) {
+func (a *attempt) open() (api.ForwardResponse, *attemptFailure) {
 	fields, failure := a.receiveHeader()
 	if failure != nil {
 		return nil, a.fail(failure)
@@ -229,7 +229,7 @@
 }
 
 // receiveHeader sends the request and reads the header of the response to it.
-func (a *attempt) receiveHeader() (fields api.AnswerFields, failure *attemptFailure) {
+func (a *attempt) receiveHeader() (fields api.ResponseFields, failure *attemptFailure) {
 	a.call.triedTargets = append(a.call.triedTargets, a.placement.Target().ID)
 	if a.exchange, failure = a.connectAndSend(); failure != nil {
 		return fields, failure
@@ -286,9 +286,9 @@
 	f.stats.newConns.Inc()
 	conn, err := f.conns.Dial(a.call.ctx, address)
 	if err != nil {
-		outcome := api.WorkUnreachable
+		outcome := api.AttemptUnreachable
 		if targetconn.LocalFault(err) || a.call.ctx.Err() != nil {
-			outcome = api.WorkUnsent
+			outcome = api.AttemptUnsent
 		}
 		return nil, &attemptFailure{outcome: outcome, step: "connect", cause: err, notRun: true}
 	}
@@ -314,10 +314,10 @@
 // watches the connection may not have noticed a disconnect, and the target would do work
 // that nobody needs.
 func (a *attempt) beforeSend() error {
-	if connected := a.call.req.Present; connected != nil && !connected() {
+	if connected := a.call.req.CallerConnected; connected != nil && !connected() {
 		return errCallerDisconnected
 	}
-	if err := a.placement.Sent(); err != nil {
+	if err := a.placement.BeforeSend(); err != nil {
 		return err
 	}
 	if a.sentAt == 0 {
@@ -336,75 +336,75 @@
 	c.req.Header.CopyTo(&req.Header)
 	exchange.StripRequest(&req.Header)
 	req.Header.SetNoDefaultContentType(true)
-	c.fwd.dialect.Forward(&req.Header, api.TargetFields{
-		Workspace: c.req.Workspace, Deadline: c.remaining(), Target: t.ID, After: c.lastEventID,
+	c.fwd.dialect.SetTargetHeaders(&req.Header, api.TargetFields{
+		Workspace: c.req.Workspace, Timeout: c.remaining(), ExpectedTarget: t.ID, LastEventID: c.lastEventID,
 	})
 	return req
 }
 
 // classify converts a failed exchange into the failure of the attempt.
 func (a *attempt) classify(sendFailure *exchange.Failure) *attemptFailure {
-	failure := &attemptFailure{outcome: api.WorkBroken, step: sendFailure.Step, cause: sendFailure.Cause}
+	failure := &attemptFailure{outcome: api.AttemptIncomplete, step: sendFailure.Step, cause: sendFailure.Cause}
 	switch {
 	case sendFailure.Sent == 0:
-		failure.outcome, failure.notRun = api.WorkUnsent, true
+		failure.outcome, failure.notRun = api.AttemptUnsent, true
 		if a.sentAt != 0 {
-			failure.outcome = api.WorkUnreachable
+			failure.outcome = api.AttemptUnreachable
 			a.call.sendCount--
 		}
 	case a.call.ctx.Err() != nil:
-		failure.outcome = api.WorkCancelled
+		failure.outcome = api.AttemptCancelled
 	case errors.Is(sendFailure.Cause, os.ErrDeadlineExceeded):
-		failure.outcome = api.WorkLate
+		failure.outcome = api.AttemptTimedOut
 	}
 	return failure
 }
 
 // matchResponse skips responses to other requests and checks that the response belongs to
 // this request. On a new connection, a response without a request ID is accepted.
-func (a *attempt) matchResponse() (fields api.AnswerFields, failure *attemptFailure) {
+func (a *attempt) matchResponse() (fields api.ResponseFields, failure *attemptFailure) {
 	const maxStrayResponses = 4
 	for range maxStrayResponses {
-		fields = a.call.fwd.dialect.Answer(&a.exchange.Resp.Header)
-		if fields.ID == a.call.req.Fields.ID || (fields.ID == "" && !a.exchange.Conn.Reused) {
+		fields = a.call.fwd.dialect.ParseResponse(&a.exchange.Resp.Header)
+		if fields.RequestID == a.call.req.Fields.RequestID || (fields.RequestID == "" && !a.exchange.Conn.Reused) {
 			return fields, nil
 		}
-		if fields.ID == "" {
-			return fields, &attemptFailure{outcome: api.WorkBroken, step: "head", cause: targetconn.ErrNameless}
+		if fields.RequestID == "" {
+			return fields, &attemptFailure{outcome: api.AttemptIncomplete, step: "head", cause: targetconn.ErrNameless}
 		}
 		a.call.fwd.stats.strayResponses.Inc()
-		a.call.log.Warn("response to another request discarded", "step", "head", "target", a.placement.Target().ID, "belongs_to", fields.ID)
+		a.call.log.Warn("response to another request discarded", "step", "head", "target", a.placement.Target().ID, "belongs_to", fields.RequestID)
 		if err := a.exchange.Skip(); err != nil {
-			return fields, &attemptFailure{outcome: api.WorkBroken, step: "head", cause: err}
+			return fields, &attemptFailure{outcome: api.AttemptIncomplete, step: "head", cause: err}
 		}
 	}
-	return fields, &attemptFailure{outcome: api.WorkBroken, step: "head", cause: errors.New("too many responses to other requests")}
+	return fields, &attemptFailure{outcome: api.AttemptIncomplete, step: "head", cause: errors.New("too many responses to other requests")}
 }
 
 // handleResponse decides by the response header whether the response is passed on or the
 // attempt has failed.
-func (a *attempt) handleResponse(fields api.AnswerFields) (api.ForwardAnswer, *attemptFailure) {
+func (a *attempt) handleResponse(fields api.ResponseFields) (api.ForwardResponse, *attemptFailure) {
 	status := a.exchange.Resp.StatusCode()
-	a.exchange.Conn.IdleLimit = fields.IdleLimit
+	a.exchange.Conn.IdleLimit = fields.IdleTimeout
 	switch {
 	case fields.NotRun:
-		outcome := api.WorkFull
-		if fields.OtherTarget {
-			outcome = api.WorkOther
+		outcome := api.AttemptTargetFull
+		if fields.WrongTarget {
+			outcome = api.AttemptWrongTarget
 		}
 		return nil, a.fail(&attemptFailure{outcome: outcome, step: "head",
 			cause: errors.Errorf("status %d, the target has not run the request", status), notRun: true})
 	case status < fasthttp.StatusOK || (status < fasthttp.StatusMultipleChoices && !fields.Signed):
-		return nil, a.fail(&attemptFailure{outcome: api.WorkBroken, step: "head",
+		return nil, a.fail(&attemptFailure{outcome: api.AttemptIncomplete, step: "head",
 			cause: errors.Errorf("status %d, response is not signed", status)})
 	case statusImpliesNotRun(status) && !a.call.req.Route.Retryable():
-		return nil, a.fail(&attemptFailure{outcome: api.WorkFailed, step: "head",
+		return nil, a.fail(&attemptFailure{outcome: api.AttemptFailed, step: "head",
 			cause: errors.Errorf("status %d, but the request may have run", status)})
 	case isStream(a.call.req.Route, &a.exchange.Resp.Header):
-		a.placement.Began()
+		a.placement.ResponseStarted()
 		return a.openStream()
 	}
-	a.placement.Began()
+	a.placement.ResponseStarted()
 	return a.openPlainResponse()
 }
 
@@ -426,13 +426,13 @@
 
 // fail ends the attempt, logs the failure and returns it.
 func (a *attempt) fail(failure *attemptFailure) *attemptFailure {
-	if failure.outcome == api.WorkUnsent || failure.outcome == api.WorkUnreachable {
+	if failure.outcome == api.AttemptUnsent || failure.outcome == api.AttemptUnreachable {
 		a.call.unsentAttempts++
 	}
 	if !failure.notRun {
 		a.call.mayHaveRun = true
 	}
-	if failure.outcome == api.WorkBroken || failure.outcome == api.WorkLate || failure.outcome == api.WorkOther {
+	if failure.outcome == api.AttemptIncomplete || failure.outcome == api.AttemptTimedOut || failure.outcome == api.AttemptWrongTarget {
 		a.call.fwd.conns.Drop(a.placement.Target().Address)
 	}
 	a.call.log.Warn("attempt failed", "step", failure.step, "target", a.placement.Target().ID, "outcome", string(failure.outcome),
@@ -451,7 +451,7 @@
 
 // end releases the target. Only the first call has an effect. The connection may return to
 // the pool only if the response is complete.
-func (a *attempt) end(outcome api.WorkOutcome, complete bool) {
+func (a *attempt) end(outcome api.AttemptOutcome, complete bool) {
 	if a.ended {
 		return
 	}
--- a/plugin/forward/outputs.go
+++ b/plugin/forward/outputs.go
@@ -23,7 +23,7 @@
 // recordStream adds a complete stream to the mean of its route. Resumed streams and
 // requests without tokens are ignored.
 func (o *outputEstimator) recordStream(r *api.ForwardRequest, events int) {
-	if r.Engine == nil || r.Engine.EventTokens <= 0 || r.Fields.After != "" {
+	if r.Engine == nil || r.Engine.EventTokens <= 0 || r.Fields.LastEventID != "" {
 		return
 	}
 	tokens := float64(events * r.Engine.EventTokens)
@@ -44,13 +44,13 @@
 	mean, ok := o.meanTokens[r.Route.Name]
 	o.mu.Unlock()
 	if !ok {
-		mean = limitShare * float64(r.Fields.OutputTokens)
+		mean = limitShare * float64(r.Fields.MaxOutputTokens)
 	}
-	if r.Fields.OutputHint > 0 {
-		mean = (mean + float64(r.Fields.OutputHint)) / 2
+	if r.Fields.OutputTokensHint > 0 {
+		mean = (mean + float64(r.Fields.OutputTokensHint)) / 2
 	}
-	if r.Fields.OutputTokens > 0 {
-		mean = min(mean, float64(r.Fields.OutputTokens))
+	if r.Fields.MaxOutputTokens > 0 {
+		mean = min(mean, float64(r.Fields.MaxOutputTokens))
 	}
 	return int(mean)
 }
--- a/plugin/forward/plain.go
+++ b/plugin/forward/plain.go
@@ -26,7 +26,7 @@
 
 // openPlainResponse reads a response of up to maxBufferedResponse bytes completely. A 5xx
 // response to a request that may be retried becomes a failure with that response.
-func (a *attempt) openPlainResponse() (api.ForwardAnswer, *attemptFailure) {
+func (a *attempt) openPlainResponse() (api.ForwardResponse, *attemptFailure) {
 	p := &plainResponse{attempt: a, buffer: overload.NewBuffer(a.call.fwd.responseMemory)}
 	a.exchange.Resp.Header.CopyTo(&p.header)
 	_, err := io.CopyN(p.buffer, a.exchange, maxBufferedResponse)
@@ -41,15 +41,15 @@
 	p.complete = true
 	status := p.header.StatusCode()
 	if status < fasthttp.StatusInternalServerError {
-		p.finish(api.WorkServed)
+		p.finish(api.AttemptServed)
 		return p, nil
 	}
 	a.call.mayHaveRun = true
-	p.finish(api.WorkFailed)
+	p.finish(api.AttemptFailed)
 	if !a.call.req.Route.Retryable() {
 		return p, nil
 	}
-	return nil, &attemptFailure{outcome: api.WorkFailed, step: "body", response: p}
+	return nil, &attemptFailure{outcome: api.AttemptFailed, step: "body", response: p}
 }
 
 // readFailure describes a response that could not be read to its end. If this instance
@@ -58,28 +58,28 @@
 	failure := &attemptFailure{outcome: a.readOutcome(err), step: step, cause: err}
 	if errors.Is(err, overload.ErrNoMemory) {
 		a.call.fwd.stats.outOfMemory.Inc()
-		failure.outcome = api.WorkCancelled
+		failure.outcome = api.AttemptCancelled
 	}
 	return failure
 }
 
 // finish logs the end of the response and ends the attempt.
-func (p *plainResponse) finish(outcome api.WorkOutcome) {
+func (p *plainResponse) finish(outcome api.AttemptOutcome) {
 	p.finished = true
 	elapsed := p.attempt.elapsed()
 	p.attempt.call.fwd.stats.responseSeconds.Update(elapsed.Seconds())
 	p.attempt.call.log.Info("answered", "step", "body", "target", p.attempt.placement.Target().ID, "outcome", string(outcome),
 		"status", p.header.StatusCode(), "bytes", len(p.body), "took_ms", elapsed.Milliseconds())
-	p.attempt.end(outcome, outcome != api.WorkBroken && outcome != api.WorkCancelled)
+	p.attempt.end(outcome, outcome != api.AttemptIncomplete && outcome != api.AttemptCancelled)
 }
 
-// Header implements api.ForwardAnswer.
+// Header implements api.ForwardResponse.
 func (p *plainResponse) Header() *fasthttp.ResponseHeader { return &p.header }
 
-// Whole implements api.ForwardAnswer.
-func (p *plainResponse) Whole() ([]byte, bool) { return p.body, p.complete }
+// CompleteBody implements api.ForwardResponse.
+func (p *plainResponse) CompleteBody() ([]byte, bool) { return p.body, p.complete }
 
-// Read implements api.ForwardAnswer.
+// Read implements api.ForwardResponse.
 func (p *plainResponse) Read(b []byte) (int, error) {
 	if len(p.body) > 0 {
 		n := copy(b, p.body)
@@ -92,17 +92,17 @@
 	n, err := p.attempt.exchange.Read(b)
 	switch {
 	case err == io.EOF:
-		p.finish(api.WorkServed)
+		p.finish(api.AttemptServed)
 	case err != nil:
-		p.finish(api.WorkBroken)
+		p.finish(api.AttemptIncomplete)
 	}
 	return n, err
 }
 
-// Close implements api.ForwardAnswer.
+// Close implements api.ForwardResponse.
 func (p *plainResponse) Close() error {
 	if !p.finished {
-		p.finish(api.WorkCancelled)
+		p.finish(api.AttemptCancelled)
 	}
 	p.buffer.Free()
 	p.body = nil
--- a/plugin/forward/setup.go
+++ b/plugin/forward/setup.go
@@ -100,7 +100,7 @@
 
 // updateRetryBudget adjusts this instance's part of the slack to the number of entry
 // instances, which share it.
-func (f *Forwarder) updateRetryBudget() { f.retryBudget.SetInstances(f.topology.Entries()) }
+func (f *Forwarder) updateRetryBudget() { f.retryBudget.SetInstances(f.topology.EntryCount()) }
 
 // setTCPUserTimeout makes the kernel close a connection whose peer stops acknowledging
 // without a reset. It is a net.Dialer.Control function.
--- a/plugin/forward/stream.go
+++ b/plugin/forward/stream.go
@@ -36,10 +36,10 @@
 
 // openStream waits for the first event, so that another attempt can replace a target that
 // fails before it.
-func (a *attempt) openStream() (api.ForwardAnswer, *attemptFailure) {
+func (a *attempt) openStream() (api.ForwardResponse, *attemptFailure) {
 	s := &streamResponse{call: a.call}
 	a.exchange.Resp.Header.CopyTo(&s.header)
-	if after, err := strconv.ParseUint(a.call.req.Fields.After, 10, 64); err == nil {
+	if after, err := strconv.ParseUint(a.call.req.Fields.LastEventID, 10, 64); err == nil {
 		s.lastID, s.numbered = after, true
 	}
 	s.attach(a)
@@ -60,23 +60,23 @@
 
 // readOutcome returns the outcome of an attempt whose response could not be read: the caller
 // disconnected, the deadline is near, or the target failed.
-func (a *attempt) readOutcome(err error) api.WorkOutcome {
+func (a *attempt) readOutcome(err error) api.AttemptOutcome {
 	switch {
 	case a.call.ctx.Err() != nil:
-		return api.WorkCancelled
+		return api.AttemptCancelled
 	case a.call.remaining() < minAttemptTime:
-		return api.WorkLate
+		return api.AttemptTimedOut
 	}
-	return api.WorkBroken
+	return api.AttemptIncomplete
 }
 
-// Header implements api.ForwardAnswer.
+// Header implements api.ForwardResponse.
 func (s *streamResponse) Header() *fasthttp.ResponseHeader { return &s.header }
 
-// Whole implements api.ForwardAnswer.
-func (s *streamResponse) Whole() ([]byte, bool) { return nil, false }
+// CompleteBody implements api.ForwardResponse.
+func (s *streamResponse) CompleteBody() ([]byte, bool) { return nil, false }
 
-// Read implements api.ForwardAnswer.
+// Read implements api.ForwardResponse.
 func (s *streamResponse) Read(p []byte) (int, error) {
 	for len(s.pending) == 0 {
 		if s.err != nil {
@@ -126,7 +126,7 @@
 	s.pending = e.Raw
 	if e.HasData {
 		s.delivered++
-		s.attempt.placement.Progress(s.delivered)
+		s.attempt.placement.ReportEvents(s.delivered)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 	s.call.fwd.stats.responseSeconds.Update(elapsed.Seconds())
 	s.call.log.Info("answered", "step", "stream", "target", s.attempt.placement.Target().ID,
 		"events", s.delivered, "took_ms", elapsed.Milliseconds())
-	s.attempt.end(api.WorkServed, true)
+	s.attempt.end(api.AttemptServed, true)
 }
 
 // resumeOrEnd resumes the stream at another target after a failure, or ends the response
@@ -169,7 +169,7 @@
 	if !s.numbered && s.delivered > 0 {
 		return "the events have no numbers"
 	}
-	return s.call.stopReason(&attemptFailure{outcome: api.WorkBroken})
+	return s.call.stopReason(&attemptFailure{outcome: api.AttemptIncomplete})
 }
 
 // resume requests the rest of the stream from another target and reports whether that
@@ -192,23 +192,23 @@
 		return false
 	}
 	if !isStream(s.call.req.Route, &next.exchange.Resp.Header) || !fields.Signed || fields.NotRun {
-		next.fail(&attemptFailure{outcome: api.WorkFull, step: "resume",
+		next.fail(&attemptFailure{outcome: api.AttemptTargetFull, step: "resume",
 			cause: errors.Errorf("status %d", next.exchange.Resp.StatusCode()), notRun: fields.NotRun})
 		return false
 	}
-	next.placement.Began()
+	next.placement.ResponseStarted()
 	s.call.log.Info("stream resumed", "step", "resume", "target", next.placement.Target().ID, "last", s.lastID)
 	s.attach(next)
 	return true
 }
 
-// Close implements api.ForwardAnswer. It cancels a stream that has not ended.
+// Close implements api.ForwardResponse. It cancels a stream that has not ended.
 func (s *streamResponse) Close() error {
 	if s.err == nil {
 		s.err = errors.New("closed")
 		s.reader.Release()
 		s.call.log.Info("stream cancelled", "step", "stream", "target", s.attempt.placement.Target().ID, "events", s.delivered)
-		s.attempt.end(api.WorkCancelled, false)
+		s.attempt.end(api.AttemptCancelled, false)
 	}
 	return nil
 }
--- a/plugin/gateway/handler.go
+++ b/plugin/gateway/handler.go
@@ -36,7 +36,7 @@
 	if refusal == nil {
 		// Resources are reserved last, because the refusals above cost little processor time.
 		if refusal = g.reserve(r); refusal != nil {
-			g.forwarder.TurnedAway(r)
+			g.forwarder.ReportShed(r)
 		}
 	}
 	if refusal != nil {
@@ -47,12 +47,12 @@
 	g.stats.requests.Inc()
 	g.log.Info("admitted", "step", "admit", "request", r.ID, "route", r.Route.Name, "kind", r.Route.Kind.String(),
 		"service", r.Service, "workspace", r.Workspace, "version", g.table.Load().Version,
-		"prompt_tokens", r.Fields.PromptTokens, "output_tokens", r.Fields.OutputTokens, "left_ms", (r.Deadline - g.clock.Now()).Milliseconds())
-	r.Present = conn.Present
+		"prompt_tokens", r.Fields.PromptTokens, "output_tokens", r.Fields.MaxOutputTokens, "left_ms", (r.Deadline - g.clock.Now()).Milliseconds())
+	r.CallerConnected = conn.Present
 	workCtx, cancel := context.WithCancel(context.Background())
 	stopWatch := conn.Watch(func() {
 		g.stats.disconnected.Inc()
-		g.log.Info("caller left", "step", "caller", "request", r.ID, "after_ms", (g.clock.Now() - r.Arrived).Milliseconds())
+		g.log.Info("caller left", "step", "caller", "request", r.ID, "after_ms", (g.clock.Now() - r.ReceivedAt).Milliseconds())
 		cancel()
 	})
 	release := func() {
@@ -69,9 +69,9 @@
 // never nil, but incomplete if there is a refusal.
 func (g *Gateway) admit(ctx *fasthttp.RequestCtx, arrived time.Duration) (*api.ForwardRequest, *api.Refusal) {
 	h := &ctx.Request.Header
-	r := &api.ForwardRequest{Header: h, Arrived: arrived}
-	fields, err := g.dialect.Caller(h)
-	r.Fields, r.ID = fields, fields.ID
+	r := &api.ForwardRequest{Header: h, ReceivedAt: arrived}
+	fields, err := g.dialect.ParseRequest(h)
+	r.Fields, r.ID = fields, fields.RequestID
 	t := g.table.Load()
 	if t == nil {
 		return r, notReadyRefusal("no configuration yet")
@@ -99,10 +99,10 @@
 	if s := t.Services[r.Service]; s != nil {
 		r.Engine = s.Engine
 	}
-	r.Waited = g.waitEstimator.earlierWait(r.Route.Name, fields.Deadline)
+	r.PriorWait = g.waitEstimator.earlierWait(r.Route.Name, fields.Timeout)
 	r.Deadline = arrived + r.Route.Timeout
-	if fields.Deadline > 0 {
-		r.Deadline = min(r.Deadline, arrived+fields.Deadline)
+	if fields.Timeout > 0 {
+		r.Deadline = min(r.Deadline, arrived+fields.Timeout)
 	}
 	return r, nil
 }
@@ -110,8 +110,8 @@
 // authorize sets the workspace that owns the bearer key, or returns a refusal. Public
 // routes, and configurations without workspaces, accept a missing or unknown key.
 func authorize(t *routing.Table, r *api.ForwardRequest) *api.Refusal {
-	if r.Fields.Key != "" {
-		if w := t.Workspace(r.Fields.Key); w != nil {
+	if r.Fields.BearerKey != "" {
+		if w := t.Workspace(r.Fields.BearerKey); w != nil {
 			r.Workspace = w.Name
 			return nil
 		}
@@ -139,7 +139,7 @@
 	}
 	resp.Header().CopyTo(&ctx.Response.Header)
 	exchange.StripAnswer(&ctx.Response.Header)
-	if body, ok := resp.Whole(); ok {
+	if body, ok := resp.CompleteBody(); ok {
 		g.writeBuffered(ctx, r, resp, body, release)
 		return
 	}
@@ -149,7 +149,7 @@
 
 // writeBuffered writes a response whose body has been read completely. The memory of a
 // response above maxUncountedResponse stays reserved until it has been written.
-func (g *Gateway) writeBuffered(ctx *fasthttp.RequestCtx, r *api.ForwardRequest, resp api.ForwardAnswer, content []byte, release func()) {
+func (g *Gateway) writeBuffered(ctx *fasthttp.RequestCtx, r *api.ForwardRequest, resp api.ForwardResponse, content []byte, release func()) {
 	isHead := r.Route != nil && string(ctx.Method()) == fasthttp.MethodHead
 	if len(content) > maxUncountedResponse && !isHead {
 		ctx.Response.SetBodyStream(&responseBody{gateway: g, resp: resp, release: release, id: r.ID}, len(content))
@@ -179,7 +179,7 @@
 // complete.
 type responseBody struct {
 	gateway *Gateway
-	resp    api.ForwardAnswer
+	resp    api.ForwardResponse
 	release func()
 	id      string
 	closed  bool
--- a/plugin/gateway/load.go
+++ b/plugin/gateway/load.go
@@ -37,7 +37,7 @@
 	}
 	r := newRefusal(fasthttp.StatusServiceUnavailable, codeBusy, "the instance has no processor time left for the workspace")
 	r.RetryAfter = retryAfterOtherInstance
-	r.Inputs = []any{"rate", int(rate), "late_ms", delay.Milliseconds()}
+	r.LogAttrs = []any{"rate", int(rate), "late_ms", delay.Milliseconds()}
 	return r
 }
 
--- a/plugin/gateway/ready.go
+++ b/plugin/gateway/ready.go
@@ -46,7 +46,7 @@
 		return "stopping"
 	case g.table.Load() == nil:
 		return "no configuration yet"
-	case !g.directory.Known():
+	case !g.directory.Loaded():
 		return "no list of targets yet"
 	case g.load.shedding():
 		return "no processor time left"
--- a/plugin/gateway/refuse.go
+++ b/plugin/gateway/refuse.go
@@ -73,7 +73,7 @@
 	g.stats.countRefusal(r.Code)
 	g.log.Warn("refused", append([]any{"step", r.Step, "request", req.ID, "workspace", req.Workspace, "code", r.Code, "status", r.Status,
 		"run", string(r.Run), "reason", r.Message, "retry_after_ms", r.RetryAfter.Milliseconds(),
-		"after_ms", (g.clock.Now() - req.Arrived).Milliseconds()}, r.Inputs...)...)
+		"after_ms", (g.clock.Now() - req.ReceivedAt).Milliseconds()}, r.LogAttrs...)...)
 	body, err := json.Marshal(refusalBody{r.Code, r.Message, r.Run})
 	if err != nil {
 		body = []byte(`{"code":"internal_error"}`) // not reached: strings can always be encoded
@@ -82,7 +82,7 @@
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	ctx.SetStatusCode(r.Status)
 	ctx.Response.Header.SetContentType("application/json")
-	g.dialect.Refuse(&ctx.Response.Header, req.ID, r.RetryAfter)
+	g.dialect.SetRefusalHeaders(&ctx.Response.Header, req.ID, r.RetryAfter)
 	ctx.Response.SetBody(body)
 }
 
@@ -102,7 +102,7 @@
 	if c, ok := ctx.Conn().(*callerconn.Conn); ok {
 		c.LingerOnClose()
 	}
-	g.writeRefusal(ctx, r, &api.ForwardRequest{Arrived: g.clock.Now()})
+	g.writeRefusal(ctx, r, &api.ForwardRequest{ReceivedAt: g.clock.Now()})
 }
 
 // limitBody sets the maximum size of a request's body before the body is read. admit
--- a/plugin/gateway/rig_test.go
+++ b/plugin/gateway/rig_test.go
@@ -55,10 +55,10 @@
 	targets []*target
 
 	mu       sync.Mutex
-	outcomes []api.WorkOutcome
+	outcomes []api.AttemptOutcome
 	placed   int
 	precheck *api.Refusal // returned by Precheck
-	// shed has the ids of the requests that TurnedAway reported.
+	// shed has the ids of the requests that ReportShed reported.
 	shed []string
 	logs logBuffer
 }
@@ -136,36 +136,36 @@
 
 func (emptyDirectory) Targets() []api.Target            { return nil }
 func (emptyDirectory) Target(string) (api.Target, bool) { return api.Target{}, false }
-func (emptyDirectory) Known() bool                      { return true }
+func (emptyDirectory) Loaded() bool                     { return true }
 func (emptyDirectory) OnChange(func())                  {}
 
 // entryCount is a topology with a number of entry instances and no control instance.
 type entryCount int
 
-func (entryCount) Controls() []string            { return nil }
+func (entryCount) ControlInstances() []string    { return nil }
 func (entryCount) Leader() (string, uint64)      { return "", 0 }
-func (a entryCount) Entries() int                { return int(a) }
+func (a entryCount) EntryCount() int             { return int(a) }
 func (entryCount) OnLeader(func(string, uint64)) {}
 
 // Precheck implements api.Placer.
-func (r *rig) Precheck(*api.Work) *api.Refusal { return r.precheck }
+func (r *rig) Precheck(*api.PlacementRequest) *api.Refusal { return r.precheck }
 
-// TurnedAway implements api.Placer.
-func (r *rig) TurnedAway(w *api.Work) {
+// ReportShed implements api.Placer.
+func (r *rig) ReportShed(w *api.PlacementRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shed = append(r.shed, w.RequestID)
 }
 
 // Place implements api.Placer.
-func (r *rig) Place(ctx context.Context, w *api.Work) (api.Placement, error) {
+func (r *rig) Place(ctx context.Context, w *api.PlacementRequest) (api.Placement, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.targets) == 0 || len(w.Tried) >= len(r.targets) {
+	if len(r.targets) == 0 || len(w.TriedTargets) >= len(r.targets) {
 		return nil, &api.Refusal{Code: "no_target", Status: 503, Run: api.NotRun, Step: "place", RetryAfter: time.Second}
 	}
 	for _, t := range r.targets {
-		if !slices.Contains(w.Tried, t.id) {
+		if !slices.Contains(w.TriedTargets, t.id) {
 			r.placed++
 			return &placement{r, t}, nil
 		}
@@ -179,10 +179,10 @@
 }
 
 func (p *placement) Target() api.Target { return api.Target{ID: p.t.id, Address: p.t.address} }
-func (p *placement) Sent() error        { return nil }
-func (p *placement) Began()             {}
-func (p *placement) Progress(int)       {}
-func (p *placement) End(o api.WorkOutcome) {
+func (p *placement) BeforeSend() error  { return nil }
+func (p *placement) ResponseStarted()   {}
+func (p *placement) ReportEvents(int)   {}
+func (p *placement) End(o api.AttemptOutcome) {
 	p.r.mu.Lock()
 	defer p.r.mu.Unlock()
 	p.r.outcomes = append(p.r.outcomes, o)
--- a/plugin/gateway/setup.go
+++ b/plugin/gateway/setup.go
@@ -126,7 +126,7 @@
 	if v.Version == 0 || (old != nil && old.Version == v.Version) {
 		return
 	}
-	t, err := v.Table(g.dialect)
+	t, err := v.ParseTable(g.dialect)
 	if err != nil {
 		g.log.Error("configuration not readable", "step", "view", "version", v.Version, "error", err)
 		return
--- a/plugin/gateway/targets_test.go
+++ b/plugin/gateway/targets_test.go
@@ -367,11 +367,11 @@
 	r := newRig(t, x).configure(1)
 	now := r.gateway.clock.Now()
 	_, err := r.gateway.forwarder.Forward(context.Background(), &api.ForwardRequest{
-		ID: "gone", Route: &r.gateway.table.Load().Routes[0], Header: &fasthttp.RequestHeader{}, Arrived: now, Deadline: now + time.Second,
-		Present: func() bool { return false },
+		ID: "gone", Route: &r.gateway.table.Load().Routes[0], Header: &fasthttp.RequestHeader{}, ReceivedAt: now, Deadline: now + time.Second,
+		CallerConnected: func() bool { return false },
 	})
 	r.is.True(errors.Is(err, context.Canceled))
-	r.is.Equal(r.waitOutcomes(1), string(api.WorkUnsent))
+	r.is.Equal(r.waitOutcomes(1), string(api.AttemptUnsent))
 	requests, _ := x.count()
 	r.is.Equal(requests, 0)
 }
--- a/plugin/lease/cluster_test.go
+++ b/plugin/lease/cluster_test.go
@@ -142,7 +142,7 @@
 // owner returns an instance that owns the pool and its epoch, or "" if none does.
 func (c *cluster) owner(pool string) (string, uint64) {
 	for name, in := range c.instances {
-		if e, ok := in.keeper.Holds(pool); ok {
+		if e, ok := in.keeper.Owns(pool); ok {
 			return name, e
 		}
 	}
@@ -157,7 +157,7 @@
 
 func (c *cluster) setPools(pools ...string) {
 	for _, in := range c.instances {
-		in.keeper.SetPools(pools)
+		in.keeper.SeekOwnership(pools)
 	}
 }
 
@@ -217,5 +217,5 @@
 		return true
 	})
 	t.Logf("view everywhere after %s", took)
-	c.await("reported revision", func() bool { return c.instances["i2"].keeper.Revision("i3") == 7 })
+	c.await("reported revision", func() bool { return c.instances["i2"].keeper.PeerRevision("i3") == 7 })
 }
--- a/plugin/lease/fault_test.go
+++ b/plugin/lease/fault_test.go
@@ -66,7 +66,7 @@
 	in := c.instances[old]
 	c.grid.Isolate(old)
 	c.await("end of the lease", func() bool { return !in.keeper.Valid() })
-	_, held := in.keeper.Holds("p")
+	_, held := in.keeper.Owns("p")
 	is.True(!held)
 	name, next := c.awaitOwner("p")
 	is.True(name != old && next > epoch)
@@ -92,15 +92,15 @@
 	c.awaitLeases()
 	i1, i2 := c.instances["i1"], c.instances["i2"]
 	c.grid.Separate("i1", "i2")
-	c.await("link down", func() bool { return len(i1.mesh.Unreached()) == 1 && len(i2.mesh.Unreached()) == 1 })
+	c.await("link down", func() bool { return len(i1.mesh.PeersWithoutLink()) == 1 && len(i2.mesh.PeersWithoutLink()) == 1 })
 	c.await("relay", func() bool { return i1.mesh.Reachable("i2") && i2.mesh.Reachable("i1") })
 	i1.fleet.Install(view(5))
-	c.await("revision through the relay", func() bool { return i1.keeper.Revision("i2") == 5 })
+	c.await("revision through the relay", func() bool { return i1.keeper.PeerRevision("i2") == 5 })
 	for _, in := range c.instances {
 		is.True(in.keeper.Valid())
 	}
 	c.grid.Link("i1", "i2").Heal()
-	c.await("direct link", func() bool { return len(i1.mesh.Unreached()) == 0 })
+	c.await("direct link", func() bool { return len(i1.mesh.PeersWithoutLink()) == 0 })
 }
 
 // Guards against a planned stop after which the pools have no owner until the votes
@@ -122,7 +122,7 @@
 	is.True(name != "" && name != old && next > epoch) // Resign returns after the successor has taken over
 	is.True(len(changes) > 0)                          // listeners were called
 	c.await("successor known", func() bool { n, e, ok := in.keeper.Owner("p"); return ok && n == name && e == next })
-	in.keeper.SetPools([]string{"p", "q"})
+	in.keeper.SeekOwnership([]string{"p", "q"})
 	c.stop(name)
 	next2, _ := c.awaitOwner("p")
 	is.True(next2 != old && next2 != name)
--- a/plugin/lease/heartbeat.go
+++ b/plugin/lease/heartbeat.go
@@ -135,7 +135,7 @@
 	stamp := k.events.Now()
 	k.update(func(n *lease.Node, now time.Duration) { h = n.NextHeartbeat(now) })
 	h.StampMs, h.StampCount = stamp.UnixMs, stamp.Count
-	h.Unreached = k.links.Unreached()
+	h.Unreached = k.links.PeersWithoutLink()
 	k.heartbeats.Inc()
 	for _, peer := range k.mesh.Peers() {
 		k.heartbeatCalls.Go(func() { k.callHeartbeat(ctx, peer, h) })
@@ -162,7 +162,7 @@
 		return nil, err
 	}
 	k.events.Observe(kernel.Stamp{UnixMs: h.StampMs, Count: h.StampCount})
-	k.links.Report(from, h.Unreached)
+	k.links.RecordPeersWithoutLink(from, h.Unreached)
 	var reply lease.Reply
 	k.update(func(n *lease.Node, now time.Duration) {
 		reply = n.HandleHeartbeat(now, from, h)
--- a/plugin/lease/setup.go
+++ b/plugin/lease/setup.go
@@ -140,9 +140,9 @@
 	return k.node.Owner(k.clock.Now(), pool)
 }
 
-// Holds implements api.Lease. It reports whether this instance owns the pool now, and
+// Owns implements api.Lease. It reports whether this instance owns the pool now, and
 // with which epoch.
-func (k *Keeper) Holds(pool string) (uint64, bool) {
+func (k *Keeper) Owns(pool string) (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.node.Holds(k.clock.Now(), pool)
@@ -156,17 +156,17 @@
 	return k.node.MayHoldLease(k.clock.Now(), peer)
 }
 
-// Revision implements api.Lease. It returns the view revision in the peer's newest
-// reply, or 0 if that reply is to a heartbeat older than 1.5 s.
-func (k *Keeper) Revision(peer string) uint64 {
+// PeerRevision implements api.Lease. It returns the view revision in the peer's
+// newest reply, or 0 if that reply is to a heartbeat older than 1.5 s.
+func (k *Keeper) PeerRevision(peer string) uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.node.PeerRevision(k.clock.Now(), peer)
 }
 
-// SetPools implements api.Lease. It sets the pools whose ownership this instance
+// SeekOwnership implements api.Lease. It sets the pools whose ownership this instance
 // seeks and releases all others.
-func (k *Keeper) SetPools(pools []string) {
+func (k *Keeper) SeekOwnership(pools []string) {
 	k.update(func(n *lease.Node, now time.Duration) {
 		n.SetPools(now, pools)
 		k.watchPools(pools...)
--- a/plugin/members/messages.go
+++ b/plugin/members/messages.go
@@ -75,7 +75,7 @@
 // sendHeartbeats sends a heartbeat to each reachable control instance, each in its own
 // goroutine so that an unresponsive one does not delay the others.
 func (m *Members) sendHeartbeats(ctx context.Context) {
-	for _, peer := range m.Controls() {
+	for _, peer := range m.ControlInstances() {
 		if peer == m.mesh.Self() || !m.mesh.Reachable(peer) {
 			continue
 		}
@@ -126,7 +126,7 @@
 		return r, nil
 	}
 	s := m.control.Status()
-	r.Leader, r.Term, r.Entries = s.Leader, s.Term, m.Entries()
+	r.Leader, r.Term, r.Entries = s.Leader, s.Term, m.EntryCount()
 	controls := slices.Sorted(slices.Values(s.Members))
 	if checksum(controls) != req.Known {
 		r.Controls = controls
--- a/plugin/members/setup.go
+++ b/plugin/members/setup.go
@@ -32,7 +32,7 @@
 type Members struct {
 	kernel  *kernel.Context
 	mesh    api.Mesh
-	roster  api.Roster
+	roster  api.LinkManager
 	fleet   api.Fleet
 	control api.Control // nil on entry instances
 	log     *slog.Logger
@@ -80,7 +80,7 @@
 	if m.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
 	}
-	if m.roster, err = kernel.Lookup[api.Roster](c); err != nil {
+	if m.roster, err = kernel.Lookup[api.LinkManager](c); err != nil {
 		return err
 	}
 	if m.fleet, err = kernel.Lookup[api.Fleet](c); err != nil {
@@ -97,7 +97,7 @@
 	m.mesh.Handle(leaderMethod, m.handleLeader)
 	m.mesh.Handle(viewChangedMethod, m.handleViewChanged)
 	m.mesh.Handle(viewFetchMethod, m.handleViewFetch)
-	m.roster.OnLink(m.linkChanged)
+	m.roster.OnLinkChange(m.linkChanged)
 	return kernel.Provide[api.Topology](c, m)
 }
 
@@ -137,10 +137,10 @@
 	return nil
 }
 
-// Controls implements api.Topology. It returns the seeds, the control instances named by
-// reports younger than reportTTL and, on a control instance, the members of the local
+// ControlInstances implements api.Topology. It returns the seeds, the control instances named
+// by reports younger than reportTTL and, on a control instance, the members of the local
 // replica and the instance itself.
-func (m *Members) Controls() []string {
+func (m *Members) ControlInstances() []string {
 	now := m.kernel.Clock.Now()
 	m.mu.Lock()
 	out := slices.Clone(m.seeds)
@@ -191,9 +191,9 @@
 	}
 }
 
-// Entries implements api.Topology. A control instance counts its links to entry
+// EntryCount implements api.Topology. A control instance counts its links to entry
 // instances; an entry instance returns the number in the newest heartbeat response.
-func (m *Members) Entries() int {
+func (m *Members) EntryCount() int {
 	if m.control == nil {
 		return int(m.entryCount.Load())
 	}
@@ -202,7 +202,7 @@
 
 // linkedEntries returns the linked instances that are not control instances.
 func (m *Members) linkedEntries() []string {
-	controls := m.Controls()
+	controls := m.ControlInstances()
 	return slices.DeleteFunc(m.mesh.Peers(), func(p string) bool { return slices.Contains(controls, p) })
 }
 
@@ -216,14 +216,14 @@
 // dialControls makes the mesh keep links to exactly the known control instances.
 func (m *Members) dialControls() {
 	self := m.mesh.Self()
-	addresses := slices.DeleteFunc(m.Controls(), func(a string) bool { return a == self })
-	m.roster.Dial(addresses)
+	addresses := slices.DeleteFunc(m.ControlInstances(), func(a string) bool { return a == self })
+	m.roster.SetAddresses(addresses)
 }
 
 // linkChanged triggers heartbeats at once after a link to a control instance came up, to
 // get the leader and the newest revision without waiting for the next interval.
 func (m *Members) linkChanged(c api.LinkChange) {
-	if c.Up && c.Control {
+	if c.Up && c.HasControlReplica {
 		kernel.Signal(m.heartbeatDue)
 	}
 }
--- a/plugin/mesh/fault_test.go
+++ b/plugin/mesh/fault_test.go
@@ -111,12 +111,12 @@
 			if both {
 				w.grid.Link("b", "a").Down()
 			}
-			w.await("link down", func() bool { return len(a.Unreached()) == 1 })
+			w.await("link down", func() bool { return len(a.PeersWithoutLink()) == 1 })
 			is.True(!a.Reachable("b"))               // no report yet
 			is.True(a.Notify("b", "note", 0) != nil) // no path
 			is.True(a.Call(withTimeout(t), "b", "echo", 0, nil) != nil)
-			a.Report("c", nil)
-			b.Report("c", nil)
+			a.RecordPeersWithoutLink("c", nil)
+			b.RecordPeersWithoutLink("c", nil)
 			is.True(a.Reachable("b"))
 			for i := range 500 {
 				is.NoErr(a.Notify("b", "note", i))
@@ -129,10 +129,10 @@
 			is.Equal(got, "a 1")
 			is.NoErr(b.Call(withTimeout(t), "a", "echo", 2, &got))
 			is.Equal(got, "b 2")
-			a.Report("c", []string{"b"})
+			a.RecordPeersWithoutLink("c", []string{"b"})
 			is.True(!a.Reachable("b")) // c has lost b, too
 			w.grid.Link("a", "b").Heal()
-			w.await("direct link", func() bool { return len(a.Unreached()) == 0 })
+			w.await("direct link", func() bool { return len(a.PeersWithoutLink()) == 0 })
 		})
 	}
 }
@@ -145,15 +145,15 @@
 	a := w.nodes["a"]
 	w.grid.Link("a", "b").Down()
 	w.grid.Link("c", "b").Down()
-	w.await("links down", func() bool { return len(a.Unreached()) == 1 && len(w.nodes["c"].Unreached()) == 1 })
-	a.Report("c", nil) // a stale report: c no longer reaches b
-	w.nodes["c"].Report("a", nil)
+	w.await("links down", func() bool { return len(a.PeersWithoutLink()) == 1 && len(w.nodes["c"].PeersWithoutLink()) == 1 })
+	a.RecordPeersWithoutLink("c", nil) // a stale report: c no longer reaches b
+	w.nodes["c"].RecordPeersWithoutLink("a", nil)
 	var e *jsonrpc2.Error
 	err := a.Call(withTimeout(t), "b", "echo", 1, nil)
 	is.True(asRPCError(err, &e))
 	is.Equal(e.Code, int64(codeNoPath))
 	w.grid.Link("c", "b").Heal()
-	w.await("link", func() bool { return len(w.nodes["c"].Unreached()) == 0 })
+	w.await("link", func() bool { return len(w.nodes["c"].PeersWithoutLink()) == 0 })
 	is.True(asRPCError(a.Call(withTimeout(t), "b", "nothing", 1, nil), &e))
 	is.Equal(e.Code, int64(jsonrpc2.CodeMethodNotFound))
 }
--- a/plugin/mesh/mesh_test.go
+++ b/plugin/mesh/mesh_test.go
@@ -69,7 +69,7 @@
 	}
 	w.await("links", func() bool {
 		for _, n := range w.nodes {
-			if len(n.Unreached()) > 0 {
+			if len(n.PeersWithoutLink()) > 0 {
 				return false
 			}
 		}
--- a/plugin/mesh/relay.go
+++ b/plugin/mesh/relay.go
@@ -32,15 +32,15 @@
 	unreached  []string
 }
 
-// Report implements api.Links.
-func (m *Mesh) Report(peer string, unreached []string) {
+// RecordPeersWithoutLink implements api.Links.
+func (m *Mesh) RecordPeersWithoutLink(peer string, unreached []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reports[peer] = linkReport{m.clock.Now(), slices.Clone(unreached)}
 }
 
-// Unreached implements api.Links.
-func (m *Mesh) Unreached() []string {
+// PeersWithoutLink implements api.Links.
+func (m *Mesh) PeersWithoutLink() []string {
 	var out []string
 	for _, p := range m.peers {
 		if m.links[p].openSession() == nil {
--- a/plugin/mesh/roster.go
+++ b/plugin/mesh/roster.go
@@ -40,8 +40,8 @@
 	return h
 }
 
-// Dial implements api.Roster.
-func (m *Mesh) Dial(addresses []string) {
+// SetAddresses implements api.LinkManager.
+func (m *Mesh) SetAddresses(addresses []string) {
 	r := m.roster
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,8 +69,8 @@
 	return &dialledLink{l, stop}
 }
 
-// OnLink implements api.Roster.
-func (m *Mesh) OnLink(f func(api.LinkChange)) {
+// OnLinkChange implements api.LinkManager.
+func (m *Mesh) OnLinkChange(f func(api.LinkChange)) {
 	m.roster.mu.Lock()
 	defer m.roster.mu.Unlock()
 	m.roster.listeners = append(m.roster.listeners, f)
@@ -85,7 +85,7 @@
 	listeners := slices.Clone(m.roster.listeners)
 	m.roster.mu.Unlock()
 	for _, f := range listeners {
-		f(api.LinkChange{Peer: h.Instance, Boot: h.Boot, DataCentre: h.DataCentre, Control: h.Control, Up: up})
+		f(api.LinkChange{Peer: h.Instance, Incarnation: h.Boot, DataCentre: h.DataCentre, HasControlReplica: h.Control, Up: up})
 	}
 }
 
--- a/plugin/mesh/setup.go
+++ b/plugin/mesh/setup.go
@@ -2,7 +2,7 @@
 // fleet over TCP. Each instance keeps one outgoing link to each peer, detects
 // silent links by heartbeats, and relays messages through a third instance when
 // a peer cannot be reached directly. The package provides api.Mesh, api.Links and,
-// with the profile "routes", api.Roster.
+// with the profile "routes", api.LinkManager.
 package mesh
 
 import (
@@ -31,8 +31,8 @@
 	})
 }
 
-// Mesh implements api.Mesh, api.Links and, with the profile "routes", api.Roster.
-// Call Provision on the zero value before use.
+// Mesh implements api.Mesh, api.Links and, with the profile "routes",
+// api.LinkManager. Call Provision on the zero value before use.
 type Mesh struct {
 	self        string
 	incarnation string // random identity of this process, sent in the handshake
@@ -81,11 +81,11 @@
 	sort.Strings(m.peers)
 	if c.Settings.Routed() {
 		m.roster = newRoster(c.Settings)
-		if err := kernel.Provide[api.Roster](c, m); err != nil {
+		if err := kernel.Provide[api.LinkManager](c, m); err != nil {
 			return err
 		}
 	}
-	c.Metrics.NewGauge("nutmeg_mesh_links_up", func() float64 { return float64(len(m.Peers()) - len(m.Unreached())) })
+	c.Metrics.NewGauge("nutmeg_mesh_links_up", func() float64 { return float64(len(m.Peers()) - len(m.PeersWithoutLink())) })
 	if err := kernel.Provide[api.Links](c, m); err != nil {
 		return err
 	}
--- a/plugin/operators/setup.go
+++ b/plugin/operators/setup.go
@@ -86,7 +86,7 @@
 
 // handle serves one call. The dialect defines the methods and paths.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	order, ok := s.dialect.Order(string(ctx.Method()), string(ctx.Path()))
+	order, ok := s.dialect.ParseOrder(string(ctx.Method()), string(ctx.Path()))
 	switch {
 	case !ok:
 		s.refuse(ctx, fasthttp.StatusNotFound, "no such call")
@@ -103,7 +103,7 @@
 // is not compared with the one in force.
 func (s *Server) replace(ctx *fasthttp.RequestCtx) {
 	body := ctx.PostBody()
-	table, err := s.dialect.Document(body)
+	table, err := s.dialect.ParseConfig(body)
 	if err != nil {
 		s.refuse(ctx, fasthttp.StatusBadRequest, err.Error())
 		return
@@ -117,7 +117,7 @@
 		s.refuse(ctx, fasthttp.StatusNotFound, "no such data centre")
 		return
 	}
-	s.submit(ctx, callTimeout, api.Submission{DataCentre: order.DataCentre, Out: order.Kind == api.OrderOut})
+	s.submit(ctx, callTimeout, api.Submission{DataCentre: order.DataCentre, Out: order.Kind == api.OrderTakeOut})
 }
 
 // submit submits a change to the control log and responds with the result. The change of
@@ -128,7 +128,7 @@
 		s.unavailable(ctx, errors.New("the caller has disconnected"))
 		return
 	}
-	submission.ChangeID, submission.Newest = kernel.NewID(), true
+	submission.ChangeID, submission.OnNewestRevision = kernel.NewID(), true
 	callCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	result, err := s.control.Submit(callCtx, submission)
--- a/plugin/orders/send.go
+++ b/plugin/orders/send.go
@@ -27,7 +27,7 @@
 		state.planner.RecordOutcome(now, order, planner.Failed)
 		return
 	}
-	if epoch, holds := o.lease.Holds(pool); !holds || epoch != state.epoch {
+	if epoch, holds := o.lease.Owns(pool); !holds || epoch != state.epoch {
 		state.planner.RecordOutcome(now, order, planner.Failed)
 		return
 	}
--- a/plugin/orders/setup.go
+++ b/plugin/orders/setup.go
@@ -127,7 +127,7 @@
 	}
 	returning := o.returningDataCentres(view.Config, time.Now())
 	for _, pool := range view.Config.Pools {
-		epoch, holds := o.lease.Holds(pool.Name)
+		epoch, holds := o.lease.Owns(pool.Name)
 		if !holds || pool.Kind != fleetconfig.KindEngine {
 			delete(o.pools, pool.Name)
 			continue
@@ -179,7 +179,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 		defer cancel()
-		token, err := o.control.OrderEpoch(ctx, pool)
+		token, err := o.control.NewOrderToken(ctx, pool)
 		o.outcomes.Push(outcome{pool: pool, epoch: epoch, token: token, tokenFailed: err != nil})
 	}()
 }
--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -97,7 +97,7 @@
 	if o.control, err = kernel.Lookup[api.Control](c); err != nil {
 		return err
 	}
-	roster, err := kernel.Lookup[api.Roster](c)
+	roster, err := kernel.Lookup[api.LinkManager](c)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	o.fleet.OnChange(func(*api.View) { o.inbox.Push(o.viewChanged) })
 	o.directory.OnChange(func() { o.inbox.Push(o.viewChanged) })
 	o.control.OnStatus(func(s api.ControlStatus) { o.inbox.Push(func() { o.statusChanged(s) }) })
-	roster.OnLink(o.linkChanged)
+	roster.OnLinkChange(o.linkChanged)
 	return nil
 }
 
@@ -246,12 +246,12 @@
 		return
 	}
 	o.state.SetView(placement.View{
-		Services: o.table.Services, Targets: o.directory.Targets(), OutOfService: v.Out, TokensPerSecond: o.table.TokensPerSecond,
+		Services: o.table.Services, Targets: o.directory.Targets(), OutOfService: v.DataCentresOut, TokensPerSecond: o.table.TokensPerSecond,
 	}, o.clock.Now())
 }
 
 func (o *Owner) loadTable(v *api.View) {
-	t, err := v.Table(o.dialect)
+	t, err := v.ParseTable(o.dialect)
 	if err != nil {
 		o.log.Error("configuration not readable", "step", "view", "version", v.Version, "error", err)
 		return
@@ -264,7 +264,7 @@
 // linkChanged discards the requests of an entry instance that stays disconnected for
 // disconnectTimeout: its connections to the targets are presumed closed.
 func (o *Owner) linkChanged(c api.LinkChange) {
-	if c.Up || c.Control {
+	if c.Up || c.HasControlReplica {
 		return
 	}
 	time.AfterFunc(disconnectTimeout, func() {
--- a/plugin/owner/suspension_test.go
+++ b/plugin/owner/suspension_test.go
@@ -102,7 +102,7 @@
 }
 
 func newAsks(n uint64) []placewire.Ask {
-	return []placewire.Ask{placewire.NewAsk(n, &api.Work{Service: "m", Workspace: "w", PromptTokens: 10, OutputTokens: 1,
+	return []placewire.Ask{placewire.NewAsk(n, &api.PlacementRequest{Service: "m", Workspace: "w", PromptTokens: 10, ExpectedOutputTokens: 1,
 		Objective: time.Hour, Deadline: time.Hour, Route: &routing.Route{Objective: time.Hour}}, 0)}
 }
 
@@ -119,14 +119,14 @@
 			r.send(placewire.Up{Asks: newAsks(2)}) // queued until the slot is free
 			r.waitForCheck()
 			r.Pass(monotonic, 4*time.Second)
-			r.send(placewire.Up{Ends: []placewire.End{{Number: 1, Outcome: api.WorkServed}}})
+			r.send(placewire.Up{Ends: []placewire.End{{Number: 1, Outcome: api.AttemptServed}}})
 			r.send(placewire.Up{Asks: newAsks(3)})
 			for range 2 { // for request 2, which is next in the queue, and for request 3
 				d := r.nextMessage()
 				r.True(d.Not)
 				r.Equal(len(d.Grants), 0)
 			}
-			r.send(placewire.Up{Ends: []placewire.End{{Number: 2, Outcome: api.WorkUnsent}}}) // the entry instance places it locally
+			r.send(placewire.Up{Ends: []placewire.End{{Number: 2, Outcome: api.AttemptUnsent}}}) // the entry instance places it locally
 			r.confirmations <- nil
 			r.waitForCheck()
 			for begin := time.Now(); time.Since(begin) < 5*time.Second; time.Sleep(time.Millisecond) {
--- a/plugin/placer/local.go
+++ b/plugin/placer/local.go
@@ -23,11 +23,11 @@
 
 // placeLocal chooses a target from the state that this instance has itself. The error is
 // an *api.Refusal if no target may be used.
-func (p *Placer) placeLocal(w *api.Work) (*assignment, error) {
+func (p *Placer) placeLocal(w *api.PlacementRequest) (*assignment, error) {
 	now := p.clock.Now()
 	q := placement.Query{
-		Service: w.Service, Targets: p.directory.Targets(), OutOfService: p.fleet.View().Out,
-		Tried: w.Tried, Now: now, Random: rand.Float64(),
+		Service: w.Service, Targets: p.directory.Targets(), OutOfService: p.fleet.View().DataCentresOut,
+		Tried: w.TriedTargets, Now: now, Random: rand.Float64(),
 	}
 	if w.Engine != nil {
 		q.AffinityPart, q.MaxRunning = affinityPart(w.Prompt), p.maxRunning(w.Engine.Slots)
@@ -48,7 +48,7 @@
 // maxRunning returns how many requests this instance may run on a target with the given
 // number of slots: its part of localSlotFraction, at least 1.
 func (p *Placer) maxRunning(slots int) int {
-	entries := p.topology.Entries()
+	entries := p.topology.EntryCount()
 	if entries == 0 {
 		entries = defaultEntryCount
 	}
@@ -67,7 +67,7 @@
 // assignment is a request that was assigned to a target. It implements api.Placement.
 type assignment struct {
 	placer          *Placer
-	work            *api.Work
+	work            *api.PlacementRequest
 	target          api.Target
 	startedAt       time.Duration  // when the target was chosen, on the kernel clock
 	chosenBy        string         // instance that chose the target: owner or entry
@@ -79,8 +79,8 @@
 // Target implements api.Placement.
 func (a *assignment) Target() api.Target { return a.target }
 
-// Sent implements api.Placement.
-func (a *assignment) Sent() error {
+// BeforeSend implements api.Placement.
+func (a *assignment) BeforeSend() error {
 	if age := a.placer.instant().Since(a.chosenAt); age > grantLifetime {
 		a.placer.recordExpired("before the request was sent", age)
 		return errExpired
@@ -88,8 +88,8 @@
 	return a.placer.checkTarget(a.target)
 }
 
-// Began implements api.Placement.
-func (a *assignment) Began() {
+// ResponseStarted implements api.Placement.
+func (a *assignment) ResponseStarted() {
 	if a.number == 0 {
 		return
 	}
@@ -100,11 +100,11 @@
 	a.placer.signalSend()
 }
 
-// Progress implements api.Placement.
-func (a *assignment) Progress(int) {}
+// ReportEvents implements api.Placement.
+func (a *assignment) ReportEvents(int) {}
 
 // End implements api.Placement.
-func (a *assignment) End(o api.WorkOutcome) {
+func (a *assignment) End(o api.AttemptOutcome) {
 	p := a.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/plugin/placer/remote.go
+++ b/plugin/placer/remote.go
@@ -37,7 +37,7 @@
 
 // waiter is a model request that waits for the owner's response.
 type waiter struct {
-	work     *api.Work
+	work     *api.PlacementRequest
 	askedAt  time.Duration
 	response chan ownerResponse // capacity 1
 }
@@ -51,7 +51,7 @@
 }
 
 // Place implements api.Placer.
-func (p *Placer) Place(ctx context.Context, w *api.Work) (api.Placement, error) {
+func (p *Placer) Place(ctx context.Context, w *api.PlacementRequest) (api.Placement, error) {
 	if w.Engine == nil {
 		return asPlacement(p.placeLocal(w))
 	}
@@ -91,7 +91,7 @@
 }
 
 // Precheck implements api.Placer.
-func (p *Placer) Precheck(w *api.Work) *api.Refusal {
+func (p *Placer) Precheck(w *api.PlacementRequest) *api.Refusal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -105,13 +105,13 @@
 	p.pending.Refused[w.Workspace] = append(p.pending.Refused[w.Workspace], placewire.NewRefused(w, now)) // sent with the next message
 	return &api.Refusal{
 		Code: placement.CodeShareExceeded, Status: 503, Run: api.NotRun, Step: "place", RetryAfter: p.throttle.RetryAfter(w.Workspace),
-		Message: "the workspace exceeds its share",
-		Inputs:  []any{"by", "entry", "passes", p.throttle.Share(w.Workspace), "term", p.owner.term},
+		Message:  "the workspace exceeds its share",
+		LogAttrs: []any{"by", "entry", "passes", p.throttle.Share(w.Workspace), "term", p.owner.term},
 	}
 }
 
-// TurnedAway implements api.Placer.
-func (p *Placer) TurnedAway(w *api.Work) {
+// ReportShed implements api.Placer.
+func (p *Placer) ReportShed(w *api.PlacementRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.pending.TurnedAway == nil {
@@ -129,7 +129,7 @@
 
 // askOwner sends a request to the owner and returns its number and waiter. It reports
 // false if the owner is unknown, unreachable or within ownerRetryDelay.
-func (p *Placer) askOwner(w *api.Work) (uint64, *waiter, bool) {
+func (p *Placer) askOwner(w *api.PlacementRequest) (uint64, *waiter, bool) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,7 +169,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, number)
-	p.pending.Ends = append(p.pending.Ends, placewire.End{Number: number, Outcome: api.WorkUnsent})
+	p.pending.Ends = append(p.pending.Ends, placewire.End{Number: number, Outcome: api.AttemptUnsent})
 	p.signalSend()
 	select {
 	case <-wt.response: // the end reported above releases the target
@@ -223,14 +223,14 @@
 func (p *Placer) releaseWaiting() {
 	for n, wt := range p.waiting {
 		delete(p.waiting, n)
-		p.pending.Ends = append(p.pending.Ends, placewire.End{Number: n, Outcome: api.WorkUnsent})
+		p.pending.Ends = append(p.pending.Ends, placewire.End{Number: n, Outcome: api.AttemptUnsent})
 		wt.response <- ownerResponse{placeLocally: true}
 	}
 	p.signalSend()
 }
 
 // placeEngineLocal places a model request locally and reports it to the owner.
-func (p *Placer) placeEngineLocal(w *api.Work, reason string) (*assignment, error) {
+func (p *Placer) placeEngineLocal(w *api.PlacementRequest, reason string) (*assignment, error) {
 	a, err := p.placeLocal(w)
 	p.localPlacements.Inc()
 	if err != nil {
@@ -253,7 +253,7 @@
 }
 
 // acceptGrant starts a request on the target that the owner has granted.
-func (p *Placer) acceptGrant(w *api.Work, number uint64, g placewire.Grant) (api.Placement, error) {
+func (p *Placer) acceptGrant(w *api.PlacementRequest, number uint64, g placewire.Grant) (api.Placement, error) {
 	p.ownerGrants.Inc()
 	p.log.Info("placed", "step", "place", "request", w.RequestID, "by", "owner", "target", g.Target,
 		"wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.Missing, "least_missing_tokens", g.Least, "least_wait_ms", g.LeastWaitMs, "term", g.Term)
@@ -267,11 +267,11 @@
 }
 
 // refusal converts the owner's refusal of a request for the caller.
-func (p *Placer) refusal(w *api.Work, g placewire.Grant) *api.Refusal {
+func (p *Placer) refusal(w *api.PlacementRequest, g placewire.Grant) *api.Refusal {
 	return &api.Refusal{
 		Code: g.Code, Status: 503, Run: api.NotRun, Step: "place",
 		Message: "the targets cannot serve the request in time", RetryAfter: time.Duration(g.RetryMs) * time.Millisecond,
-		Inputs: []any{"by", "owner", "wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.Missing, "term", g.Term},
+		LogAttrs: []any{"by", "owner", "wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.Missing, "term", g.Term},
 	}
 }
 
@@ -386,7 +386,7 @@
 	wt := p.waiting[g.Number]
 	if wt == nil {
 		if g.Target != "" && p.running[g.Number] == nil {
-			p.pending.Ends = append(p.pending.Ends, placewire.End{Number: g.Number, Outcome: api.WorkUnsent})
+			p.pending.Ends = append(p.pending.Ends, placewire.End{Number: g.Number, Outcome: api.AttemptUnsent})
 			p.signalSend()
 		}
 		return
@@ -395,7 +395,7 @@
 	if wt.askedAt < p.suspensionEnd && g.Target != "" {
 		// The grant may have been in the receive buffer for the whole suspension.
 		p.recordExpired("requested before a suspension", p.clock.Now()-wt.askedAt)
-		p.pending.Ends = append(p.pending.Ends, placewire.End{Number: g.Number, Outcome: api.WorkUnsent})
+		p.pending.Ends = append(p.pending.Ends, placewire.End{Number: g.Number, Outcome: api.AttemptUnsent})
 		p.signalSend()
 		wt.response <- ownerResponse{askAgain: true}
 		return
--- a/plugin/placer/setup.go
+++ b/plugin/placer/setup.go
@@ -92,11 +92,11 @@
 	p.mesh.Handle(placewire.MethodDown, p.handleDown)
 	p.directory.OnChange(p.targetsChanged)
 	p.topology.OnLeader(p.leaderChanged)
-	roster, err := kernel.Lookup[api.Roster](c)
+	roster, err := kernel.Lookup[api.LinkManager](c)
 	if err != nil {
 		return err
 	}
-	roster.OnLink(p.linkChanged)
+	roster.OnLinkChange(p.linkChanged)
 	return kernel.Provide[api.Placer](c, p)
 }
 
@@ -122,10 +122,10 @@
 
 // checkTarget returns an error if the target must not receive a request any more.
 func (p *Placer) checkTarget(t api.Target) error {
-	if p.fleet.View().Out[t.DataCentre] {
+	if p.fleet.View().DataCentresOut[t.DataCentre] {
 		return errDataCentreOut
 	}
-	if current, ok := p.directory.Target(t.ID); ok && current.BornMs == t.BornMs && !current.Leaving {
+	if current, ok := p.directory.Target(t.ID); ok && current.StartedUnixMs == t.StartedUnixMs && !current.Leaving {
 		return nil
 	}
 	return errTargetLeaving
--- a/plugin/placer/suspension_test.go
+++ b/plugin/placer/suspension_test.go
@@ -48,7 +48,7 @@
 	directory struct{ api.Directory }
 )
 
-func (topology) Entries() int                         { return 2 }
+func (topology) EntryCount() int                      { return 2 }
 func (fleet) View() *api.View                         { return &api.View{} }
 func (directory) Targets() []api.Target               { return []api.Target{testTarget} }
 func (directory) Target(id string) (api.Target, bool) { return testTarget, id == testTarget.ID }
@@ -112,7 +112,7 @@
 func (r *harness) place() chan result {
 	done := make(chan result, 1)
 	go func() {
-		p, err := r.p.Place(context.Background(), &api.Work{Service: "m", Engine: &routing.Engine{Slots: 4}, Route: &routing.Route{}})
+		p, err := r.p.Place(context.Background(), &api.PlacementRequest{Service: "m", Engine: &routing.Engine{Slots: 4}, Route: &routing.Route{}})
 		done <- result{p, err}
 	}()
 	return done
@@ -147,7 +147,7 @@
 			r.grant(second)
 			got := <-done
 			r.NoErr(got.err)
-			r.NoErr(got.placement.Sent())
+			r.NoErr(got.placement.BeforeSend())
 			r.Equal(got.placement.(*assignment).number, second)
 		})
 		t.Run(name+" before the first byte", func(t *testing.T) {
@@ -157,7 +157,7 @@
 			got := <-done
 			r.NoErr(got.err)
 			r.Pass(monotonic, suspension)
-			r.True(errors.Is(got.placement.Sent(), errExpired))
+			r.True(errors.Is(got.placement.BeforeSend(), errExpired))
 		})
 	}
 }
@@ -182,5 +182,5 @@
 	r.grant(n)
 	got = <-done
 	r.NoErr(got.err)
-	r.NoErr(got.placement.Sent())
+	r.NoErr(got.placement.BeforeSend())
 }
--- a/plugin/pool/client_test.go
+++ b/plugin/pool/client_test.go
@@ -74,23 +74,23 @@
 	n, fleet := startFleet(t, cfg, "a", "b")
 	n.setOwner("b", 1)
 	c := fleet["a"].client
-	_, err := c.Enqueue(api.Demand{Pool: "other", Workspace: "w"})
+	_, err := c.Enqueue(api.SlotRequest{Pool: "other", Workspace: "w"})
 	is.Equal(refusalOf(t, err).Code, "unknown_pool")
-	first, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	first, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	await(t, first)
-	expiring, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w", Deadline: fleet["a"].k.Clock.Now() + 50*time.Millisecond})
+	expiring, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w", Deadline: fleet["a"].k.Clock.Now() + 50*time.Millisecond})
 	is.NoErr(err)
 	expectRefused(t, expiring, "deadline")
 	var waiting []api.Ticket
 	for range 3 {
-		tk, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+		tk, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 		is.NoErr(err)
 		waiting = append(waiting, tk)
 	}
-	_, err = c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	_, err = c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	r := refusalOf(t, err)
-	again, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w", Admitted: true})
+	again, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w", Admitted: true})
 	is.NoErr(err) // a further attempt of an admitted request is not limited
 	again.Cancel()
 	is.Equal(r.Code, "queue_full")
@@ -102,12 +102,12 @@
 	for _, tk := range waiting[1:] {
 		expectRefused(t, tk, "no_lease")
 	}
-	_, err = c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	_, err = c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.Equal(refusalOf(t, err).Code, "no_lease")
 	n.setValid("a", true)
-	first.Done(api.Outcome{Result: api.ResultOK, Cost: 1})
+	first.Done(api.GrantOutcome{Result: api.ResultOK, Cost: 1})
 	eventually(t, "served again", func() bool {
-		tk, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+		tk, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 		if err != nil {
 			return false
 		}
@@ -125,29 +125,29 @@
 	n, fleet := startFleet(t, oneTarget(t, 1, 1), "a", "b")
 	n.setOwner("b", 1)
 	c := fleet["a"].client
-	first, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	first, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	await(t, first)
-	second, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	second, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	drained := make(chan error, 1)
 	go func() { drained <- c.Drain(context.Background()) }()
 	eventually(t, "refuses new requests", func() bool {
-		tk, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+		tk, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 		if err == nil {
 			tk.Cancel()
 			return false
 		}
 		return refusalOf(t, err).Code == "stopping"
 	})
-	first.Done(api.Outcome{Result: api.ResultOK})
+	first.Done(api.GrantOutcome{Result: api.ResultOK})
 	await(t, second)
 	select {
 	case <-drained:
 		t.Fatal("drained with a running request")
 	default:
 	}
-	second.Done(api.Outcome{Result: api.ResultOK})
+	second.Done(api.GrantOutcome{Result: api.ResultOK})
 	is.NoErr(<-drained)
 	short, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -161,23 +161,23 @@
 	n, fleet := startFleet(t, oneTarget(t, 2, 2), "a", "b", "c")
 	n.setOwner("b", 1)
 	c := fleet["a"].client
-	running, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	running, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	await(t, running)
 	n.setOwner("", 1) // no instance owns the pool
-	waiting, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	waiting, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
-	third, err := fleet["c"].client.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	third, err := fleet["c"].client.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	n.setOwner("c", 2)
 	eventually(t, "one of two is granted", func() bool { return len(waiting.Granted())+len(third.Granted()) == 1 })
-	running.Done(api.Outcome{Result: api.ResultOK, Cost: 3})
+	running.Done(api.GrantOutcome{Result: api.ResultOK, Cost: 3})
 	is.Equal(await(t, waiting).Epoch, uint64(2))
 	await(t, third)
 	is.NoErr(fleet["c"].sched.Drain(context.Background()))
 	n.setOwner("b", 3)
-	waiting.Done(api.Outcome{Result: api.ResultOK, Cost: 3})
-	last, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+	waiting.Done(api.GrantOutcome{Result: api.ResultOK, Cost: 3})
+	last, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 	is.NoErr(err)
 	is.Equal(await(t, last).Epoch, uint64(3))
 	eventually(t, "one slot is still in use", func() bool { return fleet["b"].metric(`nutmeg_sched_used{pool="p"}`) == "2" })
@@ -232,14 +232,14 @@
 	b.RunParallel(func(pb *testing.PB) {
 		c := fleet[names[next.Add(1)%7]].client
 		for pb.Next() {
-			tk, err := c.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+			tk, err := c.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 			if err != nil {
 				b.Error(err)
 				return
 			}
 			<-tk.Granted()
-			tk.Confirm(api.WarmthWarm, 1)
-			tk.Done(api.Outcome{Result: api.ResultOK, Cost: 1, Warmth: api.WarmthWarm, Boot: 1})
+			tk.ResponseStarted(api.WarmthWarm, 1)
+			tk.Done(api.GrantOutcome{Result: api.ResultOK, Cost: 1, Warmth: api.WarmthWarm, BootNumber: 1})
 		}
 	})
 }
@@ -252,13 +252,13 @@
 	took := make([]time.Duration, 0, 4096)
 	for b.Loop() {
 		begin := time.Now()
-		tk, err := fleet["a"].client.Enqueue(api.Demand{Pool: "p", Workspace: "w"})
+		tk, err := fleet["a"].client.Enqueue(api.SlotRequest{Pool: "p", Workspace: "w"})
 		if err != nil {
 			b.Fatal(err)
 		}
 		await(b, tk)
 		took = append(took, time.Since(begin))
-		tk.Done(api.Outcome{Result: api.ResultOK, Cost: 1})
+		tk.Done(api.GrantOutcome{Result: api.ResultOK, Cost: 1})
 		time.Sleep(3 * time.Millisecond)
 	}
 	slices.Sort(took)
--- a/plugin/pool/fleet_test.go
+++ b/plugin/pool/fleet_test.go
@@ -111,7 +111,7 @@
 	defer n.mu.Unlock()
 	return n.owner, n.epoch, n.owner != ""
 }
-func (n node) Holds(string) (uint64, bool) {
+func (n node) Owns(string) (uint64, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.epoch, n.owner == n.name
@@ -121,8 +121,8 @@
 	defer n.mu.Unlock()
 	return n.valid[peer]
 }
-func (n node) Revision(string) uint64       { return 1 }
-func (n node) SetPools([]string)            {}
+func (n node) PeerRevision(string) uint64   { return 1 }
+func (n node) SeekOwnership([]string)       {}
 func (n node) Resign(context.Context) error { return nil }
 func (n node) OnChange(f func()) {
 	n.mu.Lock()
@@ -220,13 +220,13 @@
 	n, fleet := startFleet(t, cfg, "a", "b", "c")
 	n.setOwner("b", 1)
 	for i, from := range []string{"a", "b", "c", "a"} {
-		tk, err := fleet[from].client.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"})
+		tk, err := fleet[from].client.Enqueue(api.SlotRequest{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"})
 		is.NoErr(err)
 		g := await(t, tk) // needs the slot that the previous request has freed
 		is.Equal(g.Target, "t1")
 		is.Equal(g.Address, cfg.Targets[0].Address)
 		is.Equal(g.Epoch, uint64(1))
-		tk.Confirm(api.WarmthWarm, 1)
-		tk.Done(api.Outcome{Result: api.ResultOK, Cost: 5, Warmth: api.WarmthWarm, Boot: 1})
+		tk.ResponseStarted(api.WarmthWarm, 1)
+		tk.Done(api.GrantOutcome{Result: api.ResultOK, Cost: 5, Warmth: api.WarmthWarm, BootNumber: 1})
 	}
 }
--- a/plugin/pool/messages.go
+++ b/plugin/pool/messages.go
@@ -183,7 +183,7 @@
 		}
 	}
 	for _, t := range v.Config.Targets {
-		n.targets[t.Name] = target{t.Pool, t.Address, v.Out[t.DataCentre]}
+		n.targets[t.Name] = target{t.Pool, t.Address, v.DataCentresOut[t.DataCentre]}
 	}
 	c.view = n
 }
--- a/plugin/pool/metrics.go
+++ b/plugin/pool/metrics.go
@@ -36,6 +36,6 @@
 	n.counter("nutmeg_pool_refused_total", fmt.Sprintf(",code=%q", code)).Inc()
 }
 
-func (n *poolMetrics) countEnded(r api.Result) {
+func (n *poolMetrics) countEnded(r api.GrantResult) {
 	n.counter("nutmeg_pool_ended_total", fmt.Sprintf(",result=%q", r)).Inc()
 }
--- a/plugin/pool/queue.go
+++ b/plugin/pool/queue.go
@@ -18,9 +18,9 @@
 	return &api.Refusal{Code: code, Message: text, Status: status, Run: api.NotRun, RetryAfter: retry, Step: step}
 }
 
-// Enqueue implements api.Pool. The error is an *api.Refusal: the pool is unknown, a queue is
-// full, the instance has no lease or it is stopping.
-func (c *Client) Enqueue(d api.Demand) (api.Ticket, error) {
+// Enqueue implements api.PoolQueue. The error is an *api.Refusal: the pool is unknown, a
+// queue is full, the instance has no lease or it is stopping.
+func (c *Client) Enqueue(d api.SlotRequest) (api.Ticket, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refreshView()
--- a/plugin/pool/setup.go
+++ b/plugin/pool/setup.go
@@ -1,5 +1,5 @@
 // Package pool queues the requests of this instance until the scheduler of their pool
-// grants them. It provides api.Pool.
+// grants them. It provides api.PoolQueue.
 package pool
 
 import (
@@ -33,8 +33,8 @@
 	})
 }
 
-// Client is the plug-in that implements api.Pool. Its lock guards the queues of all pools;
-// no blocking call is made under it. It must be provisioned before use.
+// Client is the plug-in that implements api.PoolQueue. Its lock guards the queues of all
+// pools; no blocking call is made under it. It must be provisioned before use.
 type Client struct {
 	kernel          *kernel.Context
 	mesh            api.Mesh
@@ -81,7 +81,7 @@
 	c.mesh.Handle(schedule.MethodServiceTable, c.onService)
 	c.lease.OnChange(func() { c.signalFlush(); kernel.Signal(c.tickSignal) })
 	c.localOwner.Attach(c)
-	return kernel.Provide[api.Pool](k, c)
+	return kernel.Provide[api.PoolQueue](k, c)
 }
 
 // Start implements kernel.Starter.
@@ -112,8 +112,8 @@
 	}
 }
 
-// Drain implements api.Pool and kernel.Drainer: it refuses new requests and blocks until
-// no request waits or runs. The error is that of the context.
+// Drain implements api.PoolQueue and kernel.Drainer: it refuses new requests and blocks
+// until no request waits or runs. The error is that of the context.
 func (c *Client) Drain(ctx context.Context) error {
 	c.mu.Lock()
 	c.draining = true
