--- a/plugin/pool/ticket.go
+++ b/plugin/pool/ticket.go
@@ -22,8 +22,8 @@
 // Refusal implements api.Ticket.
 func (t *ticket) Refusal() *api.Refusal { return t.refusal.Load() }
 
-// Confirm implements api.Ticket.
-func (t *ticket) Confirm(w api.Warmth, boot uint64) {
+// ResponseStarted implements api.Ticket.
+func (t *ticket) ResponseStarted(w api.Warmth, boot uint64) {
 	c := t.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,7 +32,7 @@
 }
 
 // Done implements api.Ticket.
-func (t *ticket) Done(o api.Outcome) {
+func (t *ticket) Done(o api.GrantOutcome) {
 	c := t.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/plugin/scheduler/ownership.go
+++ b/plugin/scheduler/ownership.go
@@ -49,13 +49,13 @@
 	for i, p := range v.Config.Pools {
 		names[i] = p.Name
 	}
-	s.lease.SetPools(names)
+	s.lease.SeekOwnership(names)
 }
 
 // syncPool starts or ends the ownership of a pool as the lease reports it. It reports
 // whether it was started.
 func (s *Scheduler) syncPool(pool string, now time.Duration) bool {
-	epoch, ok := s.lease.Holds(pool)
+	epoch, ok := s.lease.Owns(pool)
 	op := s.owned[pool]
 	if op != nil && (!ok || op.owner.Epoch() != epoch) {
 		s.endOwnership(pool, op)
@@ -104,7 +104,7 @@
 	}
 	l := op.owner.Targets()
 	l.Configure(targets, now)
-	l.SetOut(v.Out, now)
+	l.SetOut(v.DataCentresOut, now)
 	l.SetLeaving(s.leaving, now)
 }
 
--- a/plugin/scheduler/states.go
+++ b/plugin/scheduler/states.go
@@ -31,8 +31,8 @@
 			}
 			load := op.loadStates[t.Name]
 			out[t.Pool] = append(out[t.Pool], api.TargetState{
-				Target: t, Warmth: load.warmth, Boot: load.boot,
-				Leaving: s.leaving[t.Name], Out: v.Out[t.DataCentre],
+				Target: t, Warmth: load.warmth, BootNumber: load.boot,
+				Leaving: s.leaving[t.Name], Out: v.DataCentresOut[t.DataCentre],
 			})
 		}
 	}
--- a/plugin/scheduler/worker.go
+++ b/plugin/scheduler/worker.go
@@ -130,7 +130,7 @@
 // each message, because the lease may have run out since the decision.
 func (s *Scheduler) flush(op *ownedPool) {
 	op.owner.Flush(func(to string, m *schedule.GrantMsg) bool {
-		if epoch, ok := s.lease.Holds(op.owner.Pool()); !ok || epoch != op.owner.Epoch() {
+		if epoch, ok := s.lease.Owns(op.owner.Pool()); !ok || epoch != op.owner.Epoch() {
 			op.leaseLost = true
 			return false
 		}
