--- a/cmd/nutmegctl/read.go
+++ b/cmd/nutmegctl/read.go
@@ -220,7 +220,7 @@
 	field("workspace", e.Workspace)
 	field("target", e.Target)
 	field("data_centre", e.DataCentre)
-	field("request", e.Request)
+	field("request", e.RequestID)
 	if e.Detail != "" {
 		fmt.Fprintf(&b, " %q", e.Detail)
 	}
--- a/cmd/nutmegd/main.go
+++ b/cmd/nutmegd/main.go
@@ -89,7 +89,7 @@
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	if err := kernel.Run(context.Background(), s, kernel.Host{Log: log, Metrics: set, Stop: stop, Reload: reload, Load: load}); err != nil {
+	if err := kernel.Run(context.Background(), s, kernel.Host{Log: log, Metrics: set, StopSignals: stop, ReloadSignals: reload, LoadSettings: load}); err != nil {
 		log.Error("ended", "step", "run", "error", err)
 		return exitFailure
 	}
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -88,7 +88,7 @@
 	return (f.SinceMs == 0 || e.Stamp.UnixMs >= f.SinceMs) &&
 		(f.UntilMs == 0 || e.Stamp.UnixMs <= f.UntilMs) &&
 		matches(f.Kind, e.Kind) && matches(f.Workspace, e.Workspace) &&
-		matches(f.Target, e.Target) && matches(f.Request, e.Request)
+		matches(f.Target, e.Target) && matches(f.Request, e.RequestID)
 }
 
 // InstanceEvents are the selected events of one instance.
--- a/internal/kernel/clock.go
+++ b/internal/kernel/clock.go
@@ -16,45 +16,45 @@
 // Now implements Clock.
 func (c systemClock) Now() time.Duration { return time.Since(c.start) }
 
-// Instant is a point in time on two clocks of the system: the monotonic clock, which
+// ClockReading is a point in time on two clocks of the system: the monotonic clock, which
 // stands still while the machine is suspended, and the wall clock, which may be set.
 // Monotonic counts from the start of the process, Wall from the Unix epoch.
-type Instant struct{ Monotonic, Wall time.Duration }
+type ClockReading struct{ Monotonic, Wall time.Duration }
 
 var epoch = time.Now()
 
-// Now returns the current Instant.
-func Now() Instant {
+// ReadClocks returns the current ClockReading.
+func ReadClocks() ClockReading {
 	now := time.Now()
-	return Instant{Monotonic: now.Sub(epoch), Wall: time.Duration(now.UnixNano())}
+	return ClockReading{Monotonic: now.Sub(epoch), Wall: time.Duration(now.UnixNano())}
 }
 
 // Since returns the longer of the times that have passed on the two clocks since an
-// earlier Instant, so that a suspension of the process or the machine counts. A wall
+// earlier reading, so that a suspension of the process or the machine counts. A wall
 // clock that is set forward counts, too. The result may therefore be longer than the true
 // time: use it to check whether a lease may have expired, not to measure.
-func (i Instant) Since(earlier Instant) time.Duration {
-	return max(i.Monotonic-earlier.Monotonic, i.Wall-earlier.Wall)
+func (r ClockReading) Since(earlier ClockReading) time.Duration {
+	return max(r.Monotonic-earlier.Monotonic, r.Wall-earlier.Wall)
 }
 
-// Lapse detects suspensions and delays of the process: its user calls Look at short
-// intervals, and a long time between two calls means that the process did not run. It
-// is not safe for concurrent use.
-type Lapse struct {
-	last   Instant // of the previous Look
-	looked bool    // last is set
+// SuspensionDetector detects suspensions and delays of the process: its user calls
+// Elapsed at short intervals, and a long time between two calls means that the process
+// did not run. It is not safe for concurrent use.
+type SuspensionDetector struct {
+	last    ClockReading // of the previous call of Elapsed
+	started bool         // last is set
 }
 
-// Look returns the time since the previous call; 0 for the first one.
-func (l *Lapse) Look(now Instant) time.Duration {
-	elapsed := now.Since(l.last)
-	if !l.looked {
+// Elapsed returns the time since the previous call; 0 for the first one.
+func (d *SuspensionDetector) Elapsed(now ClockReading) time.Duration {
+	elapsed := now.Since(d.last)
+	if !d.started {
 		elapsed = 0
 	}
-	l.last, l.looked = now, true
+	d.last, d.started = now, true
 	return elapsed
 }
 
-// Forget makes the next call of Look the first one. It is called when there was no
-// reason to call Look for a while, so that this time does not count as a suspension.
-func (l *Lapse) Forget() { l.looked = false }
+// Reset makes the next call of Elapsed the first one. It is called when there was no
+// reason to call Elapsed for a while, so that this time does not count as a suspension.
+func (d *SuspensionDetector) Reset() { d.started = false }
--- a/internal/kernel/clock_test.go
+++ b/internal/kernel/clock_test.go
@@ -11,28 +11,28 @@
 // clock stands still.
 func TestSinceCountsSuspension(t *testing.T) {
 	is := is.New(t)
-	at := Instant{Monotonic: time.Minute, Wall: time.Hour}
+	at := ClockReading{Monotonic: time.Minute, Wall: time.Hour}
 	after := func(monotonic, wall time.Duration) time.Duration {
-		return Instant{at.Monotonic + monotonic, at.Wall + wall}.Since(at)
+		return ClockReading{at.Monotonic + monotonic, at.Wall + wall}.Since(at)
 	}
 	is.Equal(after(time.Second, time.Second), time.Second)
 	is.Equal(after(time.Millisecond, 5*time.Second), 5*time.Second) // suspended
 	is.Equal(after(time.Second, -time.Minute), time.Second)         // the wall clock was set back
-	begin := Now()
+	begin := ReadClocks()
 	time.Sleep(20 * time.Millisecond)
-	is.True(Now().Since(begin) >= 20*time.Millisecond)
+	is.True(ReadClocks().Since(begin) >= 20*time.Millisecond)
 }
 
 // Guards against a suspension that is not detected, and against a time without calls of
-// Look that counts as one.
-func TestLapse(t *testing.T) {
+// Elapsed that counts as one.
+func TestSuspensionDetector(t *testing.T) {
 	is := is.New(t)
-	var l Lapse
-	at := Instant{}
-	is.Equal(l.Look(at), time.Duration(0))
+	var l SuspensionDetector
+	at := ClockReading{}
+	is.Equal(l.Elapsed(at), time.Duration(0))
 	at.Wall += 4 * time.Second
-	is.Equal(l.Look(at), 4*time.Second)
-	l.Forget()
+	is.Equal(l.Elapsed(at), 4*time.Second)
+	l.Reset()
 	at.Wall += time.Hour
-	is.Equal(l.Look(at), time.Duration(0))
+	is.Equal(l.Elapsed(at), time.Duration(0))
 }
--- a/internal/kernel/duties.go
+++ b/internal/kernel/duties.go
@@ -38,11 +38,12 @@
 
 // Every runs f at a fixed interval until the duties end.
 func (d *Duties) Every(name string, interval time.Duration, f func(ctx context.Context)) {
-	d.EveryOr(name, interval, nil, f)
+	d.EveryOrOnSignal(name, interval, nil, f)
 }
 
-// EveryOr runs f at a fixed interval and immediately after a value arrives on wake.
-func (d *Duties) EveryOr(name string, interval time.Duration, wake <-chan struct{}, f func(ctx context.Context)) {
+// EveryOrOnSignal runs f at a fixed interval and immediately after a value arrives
+// on wake.
+func (d *Duties) EveryOrOnSignal(name string, interval time.Duration, wake <-chan struct{}, f func(ctx context.Context)) {
 	d.Go(name, func(ctx context.Context) error {
 		t := time.NewTicker(interval)
 		defer t.Stop()
--- a/internal/kernel/events.go
+++ b/internal/kernel/events.go
@@ -34,7 +34,7 @@
 	Workspace  string `json:"workspace,omitempty"`
 	Target     string `json:"target,omitempty"`
 	DataCentre string `json:"data_centre,omitempty"`
-	Request    string `json:"request,omitempty"`
+	RequestID  string `json:"request,omitempty"`
 	Detail     string `json:"detail,omitempty"`
 }
 
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -58,7 +58,7 @@
 	stop := make(chan os.Signal, 2)
 	stop <- syscall.SIGTERM
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	return Run(context.Background(), &settings.Settings{Instance: "i"}, Host{Log: log, Stop: stop})
+	return Run(context.Background(), &settings.Settings{Instance: "i"}, Host{Log: log, StopSignals: stop})
 }
 
 // Guards against plug-ins that start out of order, or drain before those that depend
--- a/internal/kernel/kerneltest/clock.go
+++ b/internal/kernel/kerneltest/clock.go
@@ -8,26 +8,26 @@
 	"nutmegrouter/internal/kernel"
 )
 
-// Clock is a kernel.Clock that only moves when a test calls Pass. The zero value is
+// Clock is a kernel.Clock that only moves when a test calls Advance. The zero value is
 // ready for use. It is safe for concurrent use.
 type Clock struct {
 	mu  sync.Mutex
-	now kernel.Instant
+	now kernel.ClockReading
 }
 
 // Now implements kernel.Clock.
-func (c *Clock) Now() time.Duration { return c.Instant().Monotonic }
+func (c *Clock) Now() time.Duration { return c.ReadClocks().Monotonic }
 
-// Instant returns the current time on both clocks.
-func (c *Clock) Instant() kernel.Instant {
+// ReadClocks returns the current time on both clocks.
+func (c *Clock) ReadClocks() kernel.ClockReading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// Pass advances the clocks by the given times. A smaller monotonic time than wall time
-// stands for a suspended machine.
-func (c *Clock) Pass(monotonic, wall time.Duration) {
+// Advance advances the clocks by the given times. A smaller monotonic time than wall
+// time stands for a suspended machine.
+func (c *Clock) Advance(monotonic, wall time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now.Monotonic, c.now.Wall = c.now.Monotonic+monotonic, c.now.Wall+wall
--- a/internal/kernel/plugin.go
+++ b/internal/kernel/plugin.go
@@ -49,31 +49,31 @@
 	Order int
 	// New returns a plug-in that is ready for Provision.
 	New func() Plugin
-	// Wanted reports whether the plug-in is enabled with these settings; nil
+	// Enabled reports whether the plug-in is enabled with these settings; nil
 	// enables it with the profile "pools".
-	Wanted func(*settings.Settings) bool
+	Enabled func(*settings.Settings) bool
 }
 
-// Everywhere enables a plug-in with every profile. Like the functions below it is
-// a value for Registration.Wanted.
-func Everywhere(*settings.Settings) bool { return true }
+// OnAllProfiles enables a plug-in with every profile. Like the functions below it
+// is a value for Registration.Enabled.
+func OnAllProfiles(*settings.Settings) bool { return true }
 
-// Routed enables a plug-in with the profile "routes".
-func Routed(s *settings.Settings) bool { return s.Routed() }
+// OnRoutes enables a plug-in with the profile "routes".
+func OnRoutes(s *settings.Settings) bool { return s.Routed() }
 
-// RoutedEntry enables a plug-in on entry instances of the profile "routes".
-func RoutedEntry(s *settings.Settings) bool { return s.Routed() && s.ServesCallers() }
+// OnRoutesEntry enables a plug-in on entry instances of the profile "routes".
+func OnRoutesEntry(s *settings.Settings) bool { return s.Routed() && s.ServesCallers() }
 
-// RoutedControl enables a plug-in on control instances of the profile "routes".
-func RoutedControl(s *settings.Settings) bool { return s.Routed() && !s.ServesCallers() }
+// OnRoutesControl enables a plug-in on control instances of the profile "routes".
+func OnRoutesControl(s *settings.Settings) bool { return s.Routed() && !s.ServesCallers() }
 
-// RoutedControlOrPools enables a plug-in with the profile "pools" and on control
+// OnPoolsOrRoutesControl enables a plug-in with the profile "pools" and on control
 // instances of the profile "routes".
-func RoutedControlOrPools(s *settings.Settings) bool { return !s.Routed() || RoutedControl(s) }
+func OnPoolsOrRoutesControl(s *settings.Settings) bool { return !s.Routed() || OnRoutesControl(s) }
 
-func (r Registration) wanted(s *settings.Settings) bool {
-	if r.Wanted != nil {
-		return r.Wanted(s)
+func (r Registration) isEnabled(s *settings.Settings) bool {
+	if r.Enabled != nil {
+		return r.Enabled(s)
 	}
 	return !s.Routed()
 }
--- a/internal/kernel/run.go
+++ b/internal/kernel/run.go
@@ -20,13 +20,13 @@
 	// Metrics is the set to which the kernel and the plug-ins add their metrics;
 	// nil = a new set.
 	Metrics *metrics.Set
-	// Stop delivers the signals for a planned stop. A second signal cancels the
-	// drain, so that the process ends at once.
-	Stop <-chan os.Signal
-	// Reload delivers the signals to read the settings again; nil = none.
-	Reload <-chan os.Signal
-	// Load reads the settings; nil = the settings are never reloaded.
-	Load func() (*settings.Settings, error)
+	// StopSignals delivers the signals for a planned stop. A second signal cancels
+	// the drain, so that the process ends at once.
+	StopSignals <-chan os.Signal
+	// ReloadSignals delivers the signals to read the settings again; nil = none.
+	ReloadSignals <-chan os.Signal
+	// LoadSettings reads the settings; nil = the settings are never reloaded.
+	LoadSettings func() (*settings.Settings, error)
 }
 
 // loadedPlugin is a provisioned plug-in with its registered name.
@@ -58,11 +58,11 @@
 	logqueue.Notice(c.Log, "started", "step", "start", "data_centre", s.DataCentre, "profile", s.Profile, "mesh", s.Mesh)
 	c.Events.Record(Event{Kind: "instance", Step: "start"})
 	d.Go("signals", func(ctx context.Context) error {
-		waitForStop(ctx, c, plugins, host.Stop)
+		waitForStop(ctx, c, plugins, host.StopSignals)
 		cancel()
 		return nil
 	})
-	if host.Load != nil {
+	if host.LoadSettings != nil {
 		d.Go("settings", func(ctx context.Context) error {
 			followSettings(ctx, c, plugins, host)
 			return ctx.Err()
@@ -74,7 +74,7 @@
 func provision(c *Context) ([]loadedPlugin, error) {
 	var out []loadedPlugin
 	for _, r := range Registered() {
-		if !r.wanted(c.Settings) {
+		if !r.isEnabled(c.Settings) {
 			continue
 		}
 		p := r.New()
@@ -119,11 +119,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case sig := <-host.Reload:
+		case sig := <-host.ReloadSignals:
 			trigger = sig.String()
 		case <-t.C:
 		}
-		s, err := host.Load()
+		s, err := host.LoadSettings()
 		if err != nil {
 			c.Log.Error("settings not reloaded", "step", "reload", "why", trigger, "error", err)
 			continue
--- a/plugin/admin/setup.go
+++ b/plugin/admin/setup.go
@@ -19,10 +19,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "admin",
-		Order:  kernel.OrderAdmin,
-		New:    func() kernel.Plugin { return &Admin{} },
-		Wanted: kernel.Everywhere,
+		Name:    "admin",
+		Order:   kernel.OrderAdmin,
+		New:     func() kernel.Plugin { return &Admin{} },
+		Enabled: kernel.OnAllProfiles,
 	})
 }
 
--- a/plugin/control/setup.go
+++ b/plugin/control/setup.go
@@ -20,10 +20,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "control",
-		Order:  kernel.OrderControl,
-		New:    func() kernel.Plugin { return &Control{} },
-		Wanted: kernel.RoutedControlOrPools,
+		Name:    "control",
+		Order:   kernel.OrderControl,
+		New:     func() kernel.Plugin { return &Control{} },
+		Enabled: kernel.OnPoolsOrRoutesControl,
 	})
 }
 
--- a/plugin/directory/setup.go
+++ b/plugin/directory/setup.go
@@ -19,10 +19,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "directory",
-		Order:  kernel.OrderDirectory,
-		New:    func() kernel.Plugin { return &Directory{} },
-		Wanted: kernel.Routed,
+		Name:    "directory",
+		Order:   kernel.OrderDirectory,
+		New:     func() kernel.Plugin { return &Directory{} },
+		Enabled: kernel.OnRoutes,
 	})
 }
 
@@ -107,7 +107,7 @@
 	})
 	// A new leader reads at once: after a power failure of the whole fleet no instance
 	// has a list until then.
-	duties.EveryOr("directory read", readInterval, d.becameLeader, d.readPlatformList)
+	duties.EveryOrOnSignal("directory read", readInterval, d.becameLeader, d.readPlatformList)
 	return nil
 }
 
--- a/plugin/dispatch/health.go
+++ b/plugin/dispatch/health.go
@@ -93,7 +93,7 @@
 	for _, step := range d.health.observe(a.grant.Target, o) {
 		d.events.Record(kernel.Event{
 			Kind: "target", Step: step, Pool: a.call.req.Pool, Target: a.grant.Target,
-			Epoch: a.grant.Epoch, Request: a.call.id, Detail: detail,
+			Epoch: a.grant.Epoch, RequestID: a.call.id, Detail: detail,
 		})
 		if step == "failing" || step == "answering" {
 			d.log.Info("target "+step, "step", "dispatch", "peer", a.grant.Target, "detail", detail)
--- a/plugin/dispatch/setup.go
+++ b/plugin/dispatch/setup.go
@@ -123,6 +123,6 @@
 func (d *Dispatcher) recordEvent(kind, step string, c *call, target, detail string) {
 	d.events.Record(kernel.Event{
 		Kind: kind, Step: step, Pool: c.req.Pool, Workspace: c.req.Workspace,
-		Target: target, Request: c.id, Detail: detail,
+		Target: target, RequestID: c.id, Detail: detail,
 	})
 }
--- a/plugin/fleet/setup.go
+++ b/plugin/fleet/setup.go
@@ -12,10 +12,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "fleet",
-		Order:  kernel.OrderFleet,
-		New:    func() kernel.Plugin { return &Holder{} },
-		Wanted: kernel.Everywhere,
+		Name:    "fleet",
+		Order:   kernel.OrderFleet,
+		New:     func() kernel.Plugin { return &Holder{} },
+		Enabled: kernel.OnAllProfiles,
 	})
 }
 
--- a/plugin/forward/setup.go
+++ b/plugin/forward/setup.go
@@ -22,10 +22,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "forward",
-		Order:  kernel.OrderDispatch,
-		New:    func() kernel.Plugin { return &Forwarder{} },
-		Wanted: kernel.RoutedEntry,
+		Name:    "forward",
+		Order:   kernel.OrderDispatch,
+		New:     func() kernel.Plugin { return &Forwarder{} },
+		Enabled: kernel.OnRoutesEntry,
 	})
 }
 
--- a/plugin/gateway/setup.go
+++ b/plugin/gateway/setup.go
@@ -24,10 +24,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "gateway",
-		Order:  kernel.OrderEntry,
-		New:    func() kernel.Plugin { return &Gateway{} },
-		Wanted: kernel.RoutedEntry,
+		Name:    "gateway",
+		Order:   kernel.OrderEntry,
+		New:     func() kernel.Plugin { return &Gateway{} },
+		Enabled: kernel.OnRoutesEntry,
 	})
 }
 
--- a/plugin/members/confirm_test.go
+++ b/plugin/members/confirm_test.go
@@ -96,10 +96,10 @@
 		viewFetches: metrics.NewSet().NewCounter("a")}
 	is.True(m.fetch(context.Background(), "p") != nil)
 	is.True((<-a.requests).Confirm)
-	c.Pass(confirmedStartPeriod, confirmedStartPeriod)
+	c.Advance(confirmedStartPeriod, confirmedStartPeriod)
 	is.True(m.fetch(context.Background(), "p") != nil)
 	is.True(!(<-a.requests).Confirm)
-	c.Pass(-confirmedStartPeriod, -confirmedStartPeriod)
+	c.Advance(-confirmedStartPeriod, -confirmedStartPeriod)
 	m.fleet = fleetAtRevision(1)
 	is.True(m.fetch(context.Background(), "p") != nil)
 	is.True(!(<-a.requests).Confirm)
--- a/plugin/members/setup.go
+++ b/plugin/members/setup.go
@@ -21,10 +21,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "members",
-		Order:  kernel.OrderMembers,
-		New:    func() kernel.Plugin { return &Members{} },
-		Wanted: kernel.Routed,
+		Name:    "members",
+		Order:   kernel.OrderMembers,
+		New:     func() kernel.Plugin { return &Members{} },
+		Enabled: kernel.OnRoutes,
 	})
 }
 
@@ -132,7 +132,7 @@
 		m.fleet.OnChange(func(v *api.View) { m.announceView(v.Revision) })
 	}
 	m.dialControls()
-	d.EveryOr("members.beat", heartbeatInterval, m.heartbeatDue, m.runHeartbeat)
+	d.EveryOrOnSignal("members.beat", heartbeatInterval, m.heartbeatDue, m.runHeartbeat)
 	d.Go("members.fetch", m.fetchLoop)
 	return nil
 }
--- a/plugin/mesh/setup.go
+++ b/plugin/mesh/setup.go
@@ -24,10 +24,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "mesh",
-		Order:  kernel.OrderMesh,
-		New:    func() kernel.Plugin { return &Mesh{} },
-		Wanted: kernel.Everywhere,
+		Name:    "mesh",
+		Order:   kernel.OrderMesh,
+		New:     func() kernel.Plugin { return &Mesh{} },
+		Enabled: kernel.OnAllProfiles,
 	})
 }
 
--- a/plugin/operators/setup.go
+++ b/plugin/operators/setup.go
@@ -23,10 +23,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "operators",
-		Order:  kernel.OrderAdmin,
-		New:    func() kernel.Plugin { return &Server{} },
-		Wanted: kernel.RoutedControl,
+		Name:    "operators",
+		Order:   kernel.OrderAdmin,
+		New:     func() kernel.Plugin { return &Server{} },
+		Enabled: kernel.OnRoutesControl,
 	})
 }
 
--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -23,10 +23,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "owner",
-		Order:  kernel.OrderPlacer,
-		New:    func() kernel.Plugin { return &Owner{} },
-		Wanted: kernel.RoutedControl,
+		Name:    "owner",
+		Order:   kernel.OrderPlacer,
+		New:     func() kernel.Plugin { return &Owner{} },
+		Enabled: kernel.OnRoutesControl,
 	})
 }
 
@@ -71,8 +71,8 @@
 	table         *routing.Table
 	lastHeartbeat time.Duration
 
-	instant    func() kernel.Instant
-	suspension kernel.Lapse
+	instant    func() kernel.ClockReading
+	suspension kernel.SuspensionDetector
 	// unconfirmed is set after a suspension until a majority has confirmed the ownership.
 	unconfirmed bool
 
@@ -102,7 +102,7 @@
 		return err
 	}
 	o.kernel, o.clock, o.log = c, c.Clock, c.Log.With("plugin", "owner")
-	o.instant = kernel.Now
+	o.instant = kernel.ReadClocks
 	o.inbox = kernel.NewRing[func()](c.Metrics, "owner", inboxSize)
 	o.grants = c.Metrics.NewCounter("nutmeg_owner_grants_total")
 	o.refusals = c.Metrics.NewCounter("nutmeg_owner_refusals_total")
@@ -158,10 +158,10 @@
 // the ownership, because another instance may have become the owner meanwhile.
 func (o *Owner) checkSuspension(ctx context.Context) {
 	if o.term == 0 {
-		o.suspension.Forget()
+		o.suspension.Reset()
 		return
 	}
-	suspended := o.suspension.Look(o.instant())
+	suspended := o.suspension.Elapsed(o.instant())
 	if suspended < suspensionThreshold || o.unconfirmed {
 		return
 	}
--- a/plugin/owner/suspension_test.go
+++ b/plugin/owner/suspension_test.go
@@ -70,7 +70,7 @@
 	r := &harness{I: is.New(t), status: api.ControlStatus{Role: "leader", Term: 7}, confirmations: make(chan error)}
 	set := metrics.NewSet()
 	o := &Owner{
-		mesh: r, control: r, clock: r, instant: r.Instant, log: slog.New(slog.DiscardHandler), term: 7,
+		mesh: r, control: r, clock: r, instant: r.ReadClocks, log: slog.New(slog.DiscardHandler), term: 7,
 		inbox:  kernel.NewRing[func()](set, "owner", inboxSize),
 		grants: set.NewCounter("a"), refusals: set.NewCounter("b"), decideSeconds: set.NewHistogram("c"),
 		state: placement.NewOwner(placement.Config{ShareWindow: 4 * time.Second}),
@@ -118,7 +118,7 @@
 			r.Equal(r.nextMessage().Grants[0].Target, "t1")
 			r.send(placewire.Up{Asks: newAsks(2)}) // queued until the slot is free
 			r.waitForCheck()
-			r.Pass(monotonic, 4*time.Second)
+			r.Advance(monotonic, 4*time.Second)
 			r.send(placewire.Up{Ends: []placewire.End{{Number: 1, Outcome: api.AttemptServed}}})
 			r.send(placewire.Up{Asks: newAsks(3)})
 			for range 2 { // for request 2, which is next in the queue, and for request 3
@@ -145,7 +145,7 @@
 // replaced: no majority responds, then its replica learns of the new leader.
 func TestReplacedOwnerDoesNotGrant(t *testing.T) {
 	r := newHarness(t)
-	r.Pass(0, 4*time.Second)
+	r.Advance(0, 4*time.Second)
 	r.send(placewire.Up{Asks: newAsks(1)})
 	r.True(r.nextMessage().Not)
 	r.confirmations <- context.DeadlineExceeded
--- a/plugin/placer/local.go
+++ b/plugin/placer/local.go
@@ -69,10 +69,10 @@
 	placer          *Placer
 	work            *api.PlacementRequest
 	target          api.Target
-	startedAt       time.Duration  // when the target was chosen, on the kernel clock
-	chosenBy        string         // instance that chose the target: owner or entry
-	chosenAt        kernel.Instant // for the grant lifetime; includes suspensions
-	number          uint64         // number of the model request; 0 for plain requests
+	startedAt       time.Duration       // when the target was chosen, on the kernel clock
+	chosenBy        string              // instance that chose the target: owner or entry
+	chosenAt        kernel.ClockReading // for the grant lifetime; includes suspensions
+	number          uint64              // number of the model request; 0 for plain requests
 	responseStarted bool
 }
 
--- a/plugin/placer/remote.go
+++ b/plugin/placer/remote.go
@@ -84,7 +84,7 @@
 // checkSuspension records when this process resumes after a suspension. The lock must be
 // held.
 func (p *Placer) checkSuspension(now time.Duration) {
-	if suspended := p.suspension.Look(p.instant()); suspended > suspensionThreshold {
+	if suspended := p.suspension.Elapsed(p.instant()); suspended > suspensionThreshold {
 		p.suspensionEnd = now
 		logqueue.Notice(p.log, "ran again after a pause", "step", "pause", "pause_ms", suspended.Milliseconds(), "waiting", len(p.waiting))
 	}
@@ -140,7 +140,7 @@
 	wt := &waiter{work: w, askedAt: now, response: make(chan ownerResponse, 1)}
 	if len(p.waiting) == 0 {
 		p.owner.silence.reset(now)
-		p.suspension.Forget() // the clock was not checked since the last wait
+		p.suspension.Reset() // the clock was not checked since the last wait
 		kernel.Signal(p.watchSignal)
 	}
 	p.checkSuspension(now)
--- a/plugin/placer/setup.go
+++ b/plugin/placer/setup.go
@@ -20,10 +20,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "placer",
-		Order:  kernel.OrderPlacer,
-		New:    func() kernel.Plugin { return &Placer{} },
-		Wanted: kernel.RoutedEntry,
+		Name:    "placer",
+		Order:   kernel.OrderPlacer,
+		New:     func() kernel.Plugin { return &Placer{} },
+		Enabled: kernel.OnRoutesEntry,
 	})
 }
 
@@ -37,20 +37,20 @@
 	log        *slog.Logger
 	dataCentre string
 
-	instant func() kernel.Instant
+	instant func() kernel.ClockReading
 
 	mu            sync.Mutex
 	local         *placement.Local
 	throttle      *placement.Throttle
 	owner         ownerState
-	lastNumber    uint64                 // number of the newest model request
-	waiting       map[uint64]*waiter     // model requests without the owner's response, by number
-	suspension    kernel.Lapse           // checked while requests wait
-	suspensionEnd time.Duration          // when this process last resumed after a suspension
-	running       map[uint64]*assignment // model requests on targets, by number
-	pending       placewire.Up           // message to the owner that is not sent yet
-	sendSignal    chan struct{}          // pending has content
-	watchSignal   chan struct{}          // the first request waits
+	lastNumber    uint64                    // number of the newest model request
+	waiting       map[uint64]*waiter        // model requests without the owner's response, by number
+	suspension    kernel.SuspensionDetector // checked while requests wait
+	suspensionEnd time.Duration             // when this process last resumed after a suspension
+	running       map[uint64]*assignment    // model requests on targets, by number
+	pending       placewire.Up              // message to the owner that is not sent yet
+	sendSignal    chan struct{}             // pending has content
+	watchSignal   chan struct{}             // the first request waits
 
 	ownerGrants, localPlacements, ownerTimeouts, throttled, expiredGrants *metrics.Counter
 	waitSeconds                                                           *metrics.Histogram
@@ -82,7 +82,7 @@
 	p.clock, p.log, p.dataCentre = c.Clock, c.Log.With("plugin", "placer"), c.Settings.DataCentre
 	p.local, p.throttle = placement.NewLocal(p.dataCentre), placement.NewThrottle()
 	p.waiting, p.running, p.sendSignal = map[uint64]*waiter{}, map[uint64]*assignment{}, make(chan struct{}, 1)
-	p.watchSignal, p.instant = make(chan struct{}, 1), kernel.Now
+	p.watchSignal, p.instant = make(chan struct{}, 1), kernel.ReadClocks
 	p.ownerGrants = c.Metrics.NewCounter("nutmeg_placer_owner_grants_total")
 	p.localPlacements = c.Metrics.NewCounter("nutmeg_placer_local_total")
 	p.throttled = c.Metrics.NewCounter("nutmeg_placer_held_back_total")
--- a/plugin/placer/suspension_test.go
+++ b/plugin/placer/suspension_test.go
@@ -66,7 +66,7 @@
 	set := metrics.NewSet()
 	r.p = &Placer{
 		mesh: recordingMesh{r: r}, topology: topology{}, fleet: fleet{}, directory: directory{}, clock: r, log: slog.New(slog.DiscardHandler),
-		dataCentre: "z", instant: r.Instant, local: placement.NewLocal("z"), throttle: placement.NewThrottle(),
+		dataCentre: "z", instant: r.ReadClocks, local: placement.NewLocal("z"), throttle: placement.NewThrottle(),
 		owner: ownerState{name: "o", term: 1}, waiting: map[uint64]*waiter{}, running: map[uint64]*assignment{},
 		sendSignal: make(chan struct{}, 1), watchSignal: make(chan struct{}, 1),
 		ownerGrants: set.NewCounter("a"), localPlacements: set.NewCounter("b"), ownerTimeouts: set.NewCounter("c"), throttled: set.NewCounter("d"),
@@ -140,7 +140,7 @@
 			r := newHarness(t)
 			done := r.place()
 			first := r.waitForAsk(0)
-			r.Pass(monotonic+time.Millisecond, suspension)
+			r.Advance(monotonic+time.Millisecond, suspension)
 			r.grant(first)
 			second := r.waitForAsk(first) // the placer asks the owner again
 			r.Equal(r.endedRequests(), []uint64{first})
@@ -156,7 +156,7 @@
 			r.grant(r.waitForAsk(0))
 			got := <-done
 			r.NoErr(got.err)
-			r.Pass(monotonic, suspension)
+			r.Advance(monotonic, suspension)
 			r.True(errors.Is(got.placement.BeforeSend(), errExpired))
 		})
 	}
@@ -169,14 +169,14 @@
 	done := r.place()
 	n := r.waitForAsk(0)
 	for range 60 {
-		r.Pass(100*time.Millisecond, 100*time.Millisecond)
+		r.Advance(100*time.Millisecond, 100*time.Millisecond)
 		r.respond(placewire.Down{Term: 1})
 	}
 	r.grant(n)
 	got := <-done
 	r.NoErr(got.err)
 	r.Equal(got.placement.(*assignment).number, n)
-	r.Pass(10*time.Minute, 10*time.Minute) // no request waits, so the clock is not checked
+	r.Advance(10*time.Minute, 10*time.Minute) // no request waits, so the clock is not checked
 	done = r.place()
 	n = r.waitForAsk(n)
 	r.grant(n)
