--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -71,7 +71,7 @@
 	table         *routing.Table
 	lastHeartbeat time.Duration
 
-	instant    func() kernel.ClockReading
+	readClocks func() kernel.ClockReading
 	suspension kernel.SuspensionDetector
 	// unconfirmed is set after a suspension until a majority has confirmed the ownership.
 	unconfirmed bool
@@ -102,12 +102,12 @@
 		return err
 	}
 	o.kernel, o.clock, o.log = c, c.Clock, c.Log.With("plugin", "owner")
-	o.instant = kernel.ReadClocks
+	o.readClocks = kernel.ReadClocks
 	o.inbox = kernel.NewRing[func()](c.Metrics, "owner", inboxSize)
 	o.grants = c.Metrics.NewCounter("nutmeg_owner_grants_total")
 	o.refusals = c.Metrics.NewCounter("nutmeg_owner_refusals_total")
 	o.decideSeconds = c.Metrics.NewHistogram("nutmeg_owner_decide_seconds")
-	o.mesh.Handle(placewire.MethodUp, o.handleUp)
+	o.mesh.Handle(placewire.MethodUp, o.handleEntryMessage)
 	o.fleet.OnChange(func(*api.View) { o.inbox.Push(o.viewChanged) })
 	o.directory.OnChange(func() { o.inbox.Push(o.viewChanged) })
 	o.control.OnStatus(func(s api.ControlStatus) { o.inbox.Push(func() { o.statusChanged(s) }) })
@@ -161,7 +161,7 @@
 		o.suspension.Reset()
 		return
 	}
-	suspended := o.suspension.Elapsed(o.instant())
+	suspended := o.suspension.Elapsed(o.readClocks())
 	if suspended < suspensionThreshold || o.unconfirmed {
 		return
 	}
@@ -279,8 +279,8 @@
 	})
 }
 
-func (o *Owner) handleUp(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var u placewire.Up
+func (o *Owner) handleEntryMessage(_ context.Context, from string, params json.RawMessage) (any, error) {
+	var u placewire.EntryMessage
 	if err := json.Unmarshal(params, &u); err != nil {
 		return nil, errors.WithMessage(err, placewire.MethodUp)
 	}
@@ -292,18 +292,18 @@
 
 // applyUpdate applies a message from an entry instance: running requests, starts, ends,
 // refusals and new requests, in this order.
-func (o *Owner) applyUpdate(from string, u *placewire.Up) {
+func (o *Owner) applyUpdate(from string, u *placewire.EntryMessage) {
 	if o.term == 0 || u.Term != o.term {
-		o.send(from, placewire.Down{Term: u.Term, Not: true})
+		o.send(from, placewire.OwnerMessage{Term: u.Term, NotOwner: true})
 		return
 	}
 	now := o.clock.Now()
-	if u.Whole {
+	if u.FullReport {
 		o.state.RemoveEntry(from)
 	}
 	for i := range u.Running {
 		r := &u.Running[i]
-		o.state.AddRunning(placement.Key{Entry: from, Number: r.Number}, r.Ask.Ask(u.DataCentre), r.Target, r.Began, time.Duration(r.AgoMs)*time.Millisecond, now)
+		o.state.AddRunning(placement.Key{Entry: from, Number: r.Number}, r.Request.ToPlacement(u.DataCentre), r.Target, r.Began, time.Duration(r.AgoMs)*time.Millisecond, now)
 	}
 	for _, n := range u.Began {
 		o.state.RecordFirstEvent(placement.Key{Entry: from, Number: n}, now)
@@ -311,44 +311,45 @@
 	for _, e := range u.Ends {
 		o.state.End(placement.Key{Entry: from, Number: e.Number}, e.Outcome, now)
 	}
-	for workspace, tokens := range u.TurnedAway {
+	for workspace, tokens := range u.Shed {
 		o.state.CountShed(workspace, tokens, now)
 	}
 	for workspace, requests := range u.Refused {
 		for _, r := range requests {
-			o.state.CountThrottled(workspace, r.Tokens(), r.Own(), r.Objective(), now)
+			o.state.CountThrottled(workspace, r.Tokens(), r.LastPart(), r.Objective(), now)
 		}
 	}
 	if o.unconfirmed {
 		// The ends above count, but the entry instance must place new requests itself.
-		o.send(from, placewire.Down{Term: u.Term, Not: true})
+		o.send(from, placewire.OwnerMessage{Term: u.Term, NotOwner: true})
 		return
 	}
-	for i := range u.Asks {
-		a := &u.Asks[i]
-		o.state.Submit(placement.Key{Entry: from, Number: a.Number}, a.Ask(u.DataCentre), now)
+	for i := range u.Requests {
+		a := &u.Requests[i]
+		o.state.Submit(placement.Key{Entry: from, Number: a.Number}, a.ToPlacement(u.DataCentre), now)
 	}
 }
 
 // sendDecisions decides on queued requests and sends the decisions, and heartbeats that
-// are due, to the entry instances. An unconfirmed owner sends Not in place of decisions.
+// are due, to the entry instances. An unconfirmed owner sends NotOwner in place of
+// decisions.
 func (o *Owner) sendDecisions() {
 	begin := time.Now()
 	now := o.clock.Now()
 	o.state.Tick(now)
 	decisions := o.state.Decisions()
-	down := map[string]*placewire.Down{}
-	to := func(entry string) *placewire.Down {
+	down := map[string]*placewire.OwnerMessage{}
+	to := func(entry string) *placewire.OwnerMessage {
 		d := down[entry]
 		if d == nil {
-			d = &placewire.Down{Term: o.term}
+			d = &placewire.OwnerMessage{Term: o.term}
 			down[entry] = d
 		}
 		return d
 	}
 	if o.unconfirmed {
 		for _, d := range decisions {
-			down[d.Key.Entry] = &placewire.Down{Term: o.term, Not: true}
+			down[d.Key.Entry] = &placewire.OwnerMessage{Term: o.term, NotOwner: true}
 		}
 		decisions = nil
 	}
@@ -359,7 +360,7 @@
 			o.refusals.Inc()
 		}
 		m := to(d.Key.Entry)
-		m.Grants = append(m.Grants, placewire.NewGrant(d))
+		m.Decisions = append(m.Decisions, placewire.NewDecision(d))
 	}
 	if now-o.lastHeartbeat >= heartbeatInterval && !o.unconfirmed {
 		o.lastHeartbeat = now
@@ -375,7 +376,7 @@
 	}
 }
 
-func (o *Owner) send(to string, d placewire.Down) {
+func (o *Owner) send(to string, d placewire.OwnerMessage) {
 	if err := o.mesh.Notify(to, placewire.MethodDown, d); err != nil {
 		o.log.Debug("decision not sent", "step", "owner", "peer", to, "error", err) // the entry instance places the request locally after a timeout
 	}
--- a/plugin/owner/suspension_test.go
+++ b/plugin/owner/suspension_test.go
@@ -30,7 +30,7 @@
 
 	mu            sync.Mutex
 	status        api.ControlStatus
-	sent          []placewire.Down
+	sent          []placewire.OwnerMessage
 	confirmations chan error // results of ReadRevision
 }
 
@@ -45,12 +45,12 @@
 func (r *harness) Notify(_, _ string, v any) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent = append(r.sent, v.(placewire.Down))
+	r.sent = append(r.sent, v.(placewire.OwnerMessage))
 	return nil
 }
 
 // nextMessage waits for the owner's next message and returns it.
-func (r *harness) nextMessage() placewire.Down {
+func (r *harness) nextMessage() placewire.OwnerMessage {
 	for begin := time.Now(); time.Since(begin) < 5*time.Second; time.Sleep(time.Millisecond) {
 		r.mu.Lock()
 		if len(r.sent) > 0 {
@@ -62,7 +62,7 @@
 		r.mu.Unlock()
 	}
 	r.Fail()
-	return placewire.Down{}
+	return placewire.OwnerMessage{}
 }
 
 // newHarness starts an owner in term 7 with one target that has one slot.
@@ -70,7 +70,7 @@
 	r := &harness{I: is.New(t), status: api.ControlStatus{Role: "leader", Term: 7}, confirmations: make(chan error)}
 	set := metrics.NewSet()
 	o := &Owner{
-		mesh: r, control: r, clock: r, instant: r.ReadClocks, log: slog.New(slog.DiscardHandler), term: 7,
+		mesh: r, control: r, clock: r, readClocks: r.ReadClocks, log: slog.New(slog.DiscardHandler), term: 7,
 		inbox:  kernel.NewRing[func()](set, "owner", inboxSize),
 		grants: set.NewCounter("a"), refusals: set.NewCounter("b"), decideSeconds: set.NewHistogram("c"),
 		state: placement.NewOwner(placement.Config{ShareWindow: 4 * time.Second}),
@@ -96,13 +96,13 @@
 }
 
 // send delivers a message from an entry instance.
-func (r *harness) send(u placewire.Up) {
+func (r *harness) send(u placewire.EntryMessage) {
 	u.Term = 7
 	r.o.inbox.Push(func() { r.o.applyUpdate("e", &u) })
 }
 
-func newAsks(n uint64) []placewire.Ask {
-	return []placewire.Ask{placewire.NewAsk(n, &api.PlacementRequest{Service: "m", Workspace: "w", PromptTokens: 10, ExpectedOutputTokens: 1,
+func newRequests(n uint64) []placewire.Request {
+	return []placewire.Request{placewire.NewRequest(n, &api.PlacementRequest{Service: "m", Workspace: "w", PromptTokens: 10, ExpectedOutputTokens: 1,
 		Objective: time.Hour, Deadline: time.Hour, Route: &routing.Route{Objective: time.Hour}}, 0)}
 }
 
@@ -114,25 +114,25 @@
 	for name, monotonic := range map[string]time.Duration{"stopped": 4 * time.Second, "suspended": 0} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t)
-			r.send(placewire.Up{Asks: newAsks(1)})
-			r.Equal(r.nextMessage().Grants[0].Target, "t1")
-			r.send(placewire.Up{Asks: newAsks(2)}) // queued until the slot is free
+			r.send(placewire.EntryMessage{Requests: newRequests(1)})
+			r.Equal(r.nextMessage().Decisions[0].Target, "t1")
+			r.send(placewire.EntryMessage{Requests: newRequests(2)}) // queued until the slot is free
 			r.waitForCheck()
 			r.Advance(monotonic, 4*time.Second)
-			r.send(placewire.Up{Ends: []placewire.End{{Number: 1, Outcome: api.AttemptServed}}})
-			r.send(placewire.Up{Asks: newAsks(3)})
+			r.send(placewire.EntryMessage{Ends: []placewire.End{{Number: 1, Outcome: api.AttemptServed}}})
+			r.send(placewire.EntryMessage{Requests: newRequests(3)})
 			for range 2 { // for request 2, which is next in the queue, and for request 3
 				d := r.nextMessage()
-				r.True(d.Not)
-				r.Equal(len(d.Grants), 0)
+				r.True(d.NotOwner)
+				r.Equal(len(d.Decisions), 0)
 			}
-			r.send(placewire.Up{Ends: []placewire.End{{Number: 2, Outcome: api.AttemptUnsent}}}) // the entry instance places it locally
+			r.send(placewire.EntryMessage{Ends: []placewire.End{{Number: 2, Outcome: api.AttemptUnsent}}}) // the entry instance places it locally
 			r.confirmations <- nil
 			r.waitForCheck()
 			for begin := time.Now(); time.Since(begin) < 5*time.Second; time.Sleep(time.Millisecond) {
-				r.send(placewire.Up{Asks: newAsks(4)})
-				if d := r.nextMessage(); !d.Not {
-					r.Equal(d.Grants[0].Target, "t1")
+				r.send(placewire.EntryMessage{Requests: newRequests(4)})
+				if d := r.nextMessage(); !d.NotOwner {
+					r.Equal(d.Decisions[0].Target, "t1")
 					return
 				}
 			}
@@ -146,8 +146,8 @@
 func TestReplacedOwnerDoesNotGrant(t *testing.T) {
 	r := newHarness(t)
 	r.Advance(0, 4*time.Second)
-	r.send(placewire.Up{Asks: newAsks(1)})
-	r.True(r.nextMessage().Not)
+	r.send(placewire.EntryMessage{Requests: newRequests(1)})
+	r.True(r.nextMessage().NotOwner)
 	r.confirmations <- context.DeadlineExceeded
 	r.mu.Lock()
 	r.status = api.ControlStatus{Role: "follower", Term: 8}
@@ -157,8 +157,8 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	r.o.inbox.Push(func() { r.o.statusChanged(r.Status()) })
-	r.send(placewire.Up{Asks: newAsks(2)})
-	r.True(r.nextMessage().Not)
+	r.send(placewire.EntryMessage{Requests: newRequests(2)})
+	r.True(r.nextMessage().NotOwner)
 	r.waitForCheck()
 }
 
--- a/plugin/placer/local.go
+++ b/plugin/placer/local.go
@@ -42,7 +42,7 @@
 		}
 	}
 	p.local.Start(t)
-	return &assignment{placer: p, work: w, target: t, startedAt: now, chosenBy: "entry", chosenAt: p.instant()}, nil
+	return &assignment{placer: p, work: w, target: t, startedAt: now, chosenBy: "entry", chosenAt: p.readClocks()}, nil
 }
 
 // maxRunning returns how many requests this instance may run on a target with the given
@@ -81,7 +81,7 @@
 
 // BeforeSend implements api.Placement.
 func (a *assignment) BeforeSend() error {
-	if age := a.placer.instant().Since(a.chosenAt); age > grantLifetime {
+	if age := a.placer.readClocks().Since(a.chosenAt); age > grantLifetime {
 		a.placer.recordExpired("before the request was sent", age)
 		return errExpired
 	}
--- a/plugin/placer/remote.go
+++ b/plugin/placer/remote.go
@@ -45,7 +45,7 @@
 // ownerResponse ends the wait of a request. At most one of its flags is set; without one,
 // grant is the owner's decision.
 type ownerResponse struct {
-	grant placewire.Grant
+	grant placewire.Decision
 	// placeLocally is set if the owner is unavailable, askAgain if its grant has expired.
 	placeLocally, askAgain bool
 }
@@ -84,7 +84,7 @@
 // checkSuspension records when this process resumes after a suspension. The lock must be
 // held.
 func (p *Placer) checkSuspension(now time.Duration) {
-	if suspended := p.suspension.Elapsed(p.instant()); suspended > suspensionThreshold {
+	if suspended := p.suspension.Elapsed(p.readClocks()); suspended > suspensionThreshold {
 		p.suspensionEnd = now
 		logqueue.Notice(p.log, "ran again after a pause", "step", "pause", "pause_ms", suspended.Milliseconds(), "waiting", len(p.waiting))
 	}
@@ -95,7 +95,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if !p.throttle.Refuses(w.Workspace, placewire.OwnPart(w.Prompt), now) {
+	if !p.throttle.Refuses(w.Workspace, placewire.LastPartID(w.Prompt), now) {
 		return nil
 	}
 	p.throttled.Inc()
@@ -114,10 +114,10 @@
 func (p *Placer) ReportShed(w *api.PlacementRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pending.TurnedAway == nil {
-		p.pending.TurnedAway = map[string]int{}
+	if p.pending.Shed == nil {
+		p.pending.Shed = map[string]int{}
 	}
-	p.pending.TurnedAway[w.Workspace] += placewire.Tokens(w) // sent with the next message
+	p.pending.Shed[w.Workspace] += placewire.Tokens(w) // sent with the next message
 }
 
 func asPlacement(a *assignment, err error) (api.Placement, error) {
@@ -145,7 +145,7 @@
 	}
 	p.checkSuspension(now)
 	p.waiting[p.lastNumber] = wt
-	p.pending.Asks = append(p.pending.Asks, placewire.NewAsk(p.lastNumber, w, now))
+	p.pending.Requests = append(p.pending.Requests, placewire.NewRequest(p.lastNumber, w, now))
 	p.signalSend()
 	return p.lastNumber, wt, true
 }
@@ -249,15 +249,15 @@
 
 // report describes a running request to the owner.
 func (a *assignment) report(now time.Duration) placewire.Running {
-	return placewire.Running{Ask: placewire.NewAsk(a.number, a.work, now), Target: a.target.ID, Began: a.responseStarted, AgoMs: (now - a.startedAt).Milliseconds()}
+	return placewire.Running{Request: placewire.NewRequest(a.number, a.work, now), Target: a.target.ID, Began: a.responseStarted, AgoMs: (now - a.startedAt).Milliseconds()}
 }
 
 // acceptGrant starts a request on the target that the owner has granted.
-func (p *Placer) acceptGrant(w *api.PlacementRequest, number uint64, g placewire.Grant) (api.Placement, error) {
+func (p *Placer) acceptGrant(w *api.PlacementRequest, number uint64, g placewire.Decision) (api.Placement, error) {
 	p.ownerGrants.Inc()
 	p.log.Info("placed", "step", "place", "request", w.RequestID, "by", "owner", "target", g.Target,
-		"wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.Missing, "least_missing_tokens", g.Least, "least_wait_ms", g.LeastWaitMs, "term", g.Term)
-	a := &assignment{placer: p, work: w, startedAt: p.clock.Now(), chosenBy: "owner", number: number, chosenAt: p.instant()}
+		"wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.UncachedTokens, "least_missing_tokens", g.MinUncachedTokens, "least_wait_ms", g.MinUncachedWaitMs, "term", g.Term)
+	a := &assignment{placer: p, work: w, startedAt: p.clock.Now(), chosenBy: "owner", number: number, chosenAt: p.readClocks()}
 	a.target, _ = p.directory.Target(g.Target) // checkTarget rejects a removed target later
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,11 +267,11 @@
 }
 
 // refusal converts the owner's refusal of a request for the caller.
-func (p *Placer) refusal(w *api.PlacementRequest, g placewire.Grant) *api.Refusal {
+func (p *Placer) refusal(w *api.PlacementRequest, g placewire.Decision) *api.Refusal {
 	return &api.Refusal{
 		Code: g.Code, Status: 503, Run: api.NotRun, Step: "place",
 		Message: "the targets cannot serve the request in time", RetryAfter: time.Duration(g.RetryMs) * time.Millisecond,
-		LogAttrs: []any{"by", "owner", "wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.Missing, "term", g.Term},
+		LogAttrs: []any{"by", "owner", "wait_ms", g.WaitMs, "excess", g.Excess, "missing_tokens", g.UncachedTokens, "term", g.Term},
 	}
 }
 
@@ -299,12 +299,12 @@
 // requests. The lock must be held.
 func (p *Placer) queueFullReport() {
 	now := p.clock.Now()
-	p.pending = placewire.Up{Whole: true}
+	p.pending = placewire.EntryMessage{FullReport: true}
 	for _, a := range p.running {
 		p.pending.Running = append(p.pending.Running, a.report(now))
 	}
 	for n, wt := range p.waiting {
-		p.pending.Asks = append(p.pending.Asks, placewire.NewAsk(n, wt.work, now))
+		p.pending.Requests = append(p.pending.Requests, placewire.NewRequest(n, wt.work, now))
 	}
 	p.signalSend()
 }
@@ -337,7 +337,7 @@
 func (p *Placer) sendPending() bool {
 	p.mu.Lock()
 	u := p.pending
-	p.pending = placewire.Up{}
+	p.pending = placewire.EntryMessage{}
 	owner := p.owner
 	p.mu.Unlock()
 	if owner.name == "" {
@@ -354,8 +354,8 @@
 	return true
 }
 
-func (p *Placer) handleDown(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var d placewire.Down
+func (p *Placer) handleOwnerMessage(_ context.Context, from string, params json.RawMessage) (any, error) {
+	var d placewire.OwnerMessage
 	if err := json.Unmarshal(params, &d); err != nil {
 		return nil, errors.WithMessage(err, placewire.MethodDown)
 	}
@@ -365,7 +365,7 @@
 		return nil, nil
 	}
 	now := p.clock.Now()
-	if d.Not {
+	if d.NotOwner {
 		p.owner.unavailableUntil = now + ownerRetryDelay
 		p.releaseWaiting()
 		return nil, nil
@@ -374,7 +374,7 @@
 	if len(p.waiting) > 0 {
 		p.checkSuspension(now)
 	}
-	for _, g := range d.Grants {
+	for _, g := range d.Decisions {
 		p.deliverGrant(g)
 	}
 	return nil, nil
@@ -382,7 +382,7 @@
 
 // deliverGrant passes the owner's decision to the request that waits for it. A grant for a
 // request that no longer waits is released. The lock must be held.
-func (p *Placer) deliverGrant(g placewire.Grant) {
+func (p *Placer) deliverGrant(g placewire.Decision) {
 	wt := p.waiting[g.Number]
 	if wt == nil {
 		if g.Target != "" && p.running[g.Number] == nil {
@@ -400,7 +400,7 @@
 		wt.response <- ownerResponse{askAgain: true}
 		return
 	}
-	p.throttle.SetShare(wt.work.Workspace, g.Pass(), p.clock.Now())
+	p.throttle.SetShare(wt.work.Workspace, g.ForwardShare(), p.clock.Now())
 	g.Term = p.owner.term
 	wt.response <- ownerResponse{grant: g}
 }
--- a/plugin/placer/setup.go
+++ b/plugin/placer/setup.go
@@ -37,7 +37,7 @@
 	log        *slog.Logger
 	dataCentre string
 
-	instant func() kernel.ClockReading
+	readClocks func() kernel.ClockReading
 
 	mu            sync.Mutex
 	local         *placement.Local
@@ -48,7 +48,7 @@
 	suspension    kernel.SuspensionDetector // checked while requests wait
 	suspensionEnd time.Duration             // when this process last resumed after a suspension
 	running       map[uint64]*assignment    // model requests on targets, by number
-	pending       placewire.Up              // message to the owner that is not sent yet
+	pending       placewire.EntryMessage    // message to the owner that is not sent yet
 	sendSignal    chan struct{}             // pending has content
 	watchSignal   chan struct{}             // the first request waits
 
@@ -82,14 +82,14 @@
 	p.clock, p.log, p.dataCentre = c.Clock, c.Log.With("plugin", "placer"), c.Settings.DataCentre
 	p.local, p.throttle = placement.NewLocal(p.dataCentre), placement.NewThrottle()
 	p.waiting, p.running, p.sendSignal = map[uint64]*waiter{}, map[uint64]*assignment{}, make(chan struct{}, 1)
-	p.watchSignal, p.instant = make(chan struct{}, 1), kernel.ReadClocks
+	p.watchSignal, p.readClocks = make(chan struct{}, 1), kernel.ReadClocks
 	p.ownerGrants = c.Metrics.NewCounter("nutmeg_placer_owner_grants_total")
 	p.localPlacements = c.Metrics.NewCounter("nutmeg_placer_local_total")
 	p.throttled = c.Metrics.NewCounter("nutmeg_placer_held_back_total")
 	p.expiredGrants = c.Metrics.NewCounter("nutmeg_placer_grants_expired_total")
 	p.ownerTimeouts = c.Metrics.NewCounter("nutmeg_placer_unanswered_total")
 	p.waitSeconds = c.Metrics.NewHistogram("nutmeg_placer_wait_seconds")
-	p.mesh.Handle(placewire.MethodDown, p.handleDown)
+	p.mesh.Handle(placewire.MethodDown, p.handleOwnerMessage)
 	p.directory.OnChange(p.targetsChanged)
 	p.topology.OnLeader(p.leaderChanged)
 	roster, err := kernel.Lookup[api.LinkManager](c)
--- a/plugin/placer/suspension_test.go
+++ b/plugin/placer/suspension_test.go
@@ -27,7 +27,7 @@
 	kerneltest.Clock
 
 	mu   sync.Mutex
-	sent []placewire.Up
+	sent []placewire.EntryMessage
 }
 
 // The methods of api.Mesh, api.Topology, api.Fleet and api.Directory that a placer uses.
@@ -35,7 +35,7 @@
 func (r *harness) Notify(_, _ string, v any) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent = append(r.sent, v.(placewire.Up))
+	r.sent = append(r.sent, v.(placewire.EntryMessage))
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	set := metrics.NewSet()
 	r.p = &Placer{
 		mesh: recordingMesh{r: r}, topology: topology{}, fleet: fleet{}, directory: directory{}, clock: r, log: slog.New(slog.DiscardHandler),
-		dataCentre: "z", instant: r.ReadClocks, local: placement.NewLocal("z"), throttle: placement.NewThrottle(),
+		dataCentre: "z", readClocks: r.ReadClocks, local: placement.NewLocal("z"), throttle: placement.NewThrottle(),
 		owner: ownerState{name: "o", term: 1}, waiting: map[uint64]*waiter{}, running: map[uint64]*assignment{},
 		sendSignal: make(chan struct{}, 1), watchSignal: make(chan struct{}, 1),
 		ownerGrants: set.NewCounter("a"), localPlacements: set.NewCounter("b"), ownerTimeouts: set.NewCounter("c"), throttled: set.NewCounter("d"),
@@ -93,15 +93,15 @@
 }
 
 // respond delivers a message from the owner.
-func (r *harness) respond(d placewire.Down) {
+func (r *harness) respond(d placewire.OwnerMessage) {
 	raw, err := json.Marshal(d)
 	r.NoErr(err)
-	_, err = r.p.handleDown(context.Background(), "o", raw)
+	_, err = r.p.handleOwnerMessage(context.Background(), "o", raw)
 	r.NoErr(err)
 }
 
 func (r *harness) grant(n uint64) {
-	r.respond(placewire.Down{Term: 1, Grants: []placewire.Grant{{Number: n, Target: "t1"}}})
+	r.respond(placewire.OwnerMessage{Term: 1, Decisions: []placewire.Decision{{Number: n, Target: "t1"}}})
 }
 
 type result struct {
@@ -170,7 +170,7 @@
 	n := r.waitForAsk(0)
 	for range 60 {
 		r.Advance(100*time.Millisecond, 100*time.Millisecond)
-		r.respond(placewire.Down{Term: 1})
+		r.respond(placewire.OwnerMessage{Term: 1})
 	}
 	r.grant(n)
 	got := <-done
