--- a/internal/callerconn/conn.go
+++ b/internal/callerconn/conn.go
@@ -34,7 +34,7 @@
 )
 
 // Conn is a caller's connection. It implements the net.Conn that the server reads from, and
-// Watch detects a disconnect while a request is served.
+// WatchDisconnect detects a disconnect while a request is served.
 type Conn struct {
 	net.Conn
 	tracker *Tracker
@@ -49,7 +49,7 @@
 
 	idleElement *list.Element // in the tracker's list of idle connections, or nil; guarded by the tracker
 
-	readAhead []byte // bytes that Read returns next; owned by the goroutine of Watch while it runs, else by the reader
+	readAhead []byte // bytes that Read returns next; owned by the goroutine of WatchDisconnect while it runs, else by the reader
 }
 
 // Read implements net.Conn. It updates the connection's state and applies the tracker's
@@ -114,11 +114,11 @@
 	}
 	switch state {
 	case stateIdle:
-		return c.Conn.SetReadDeadline(since.Add(l.Idle()))
+		return c.Conn.SetReadDeadline(since.Add(l.IdleTimeout()))
 	case stateReadingHeader:
-		return c.Conn.SetReadDeadline(since.Add(l.Head()))
+		return c.Conn.SetReadDeadline(since.Add(l.HeaderTimeout()))
 	}
-	return c.Conn.SetReadDeadline(since.Add(l.Whole()))
+	return c.Conn.SetReadDeadline(since.Add(l.RequestTimeout()))
 }
 
 // requestBytesRead records that bytes of a request have been read. It reports false if the
@@ -141,15 +141,15 @@
 	return true
 }
 
-// HeadRead records that the header of a request has been read.
-func (c *Conn) HeadRead() { c.setState(stateHeaderRead) }
+// HeaderRead records that the header of a request has been read.
+func (c *Conn) HeaderRead() { c.setState(stateHeaderRead) }
 
-// Served records that the handler of a request has returned.
-func (c *Conn) Served() { c.setState(stateHandled) }
+// HandlerReturned records that the handler of a request has returned.
+func (c *Conn) HandlerReturned() { c.setState(stateHandled) }
 
-// Begin records that the handler of a request starts. It returns the time when the first
-// bytes of the request were read; for a pipelined request, the current time.
-func (c *Conn) Begin() time.Time {
+// HandlerStarted records that the handler of a request starts. It returns the time when the
+// first bytes of the request were read; for a pipelined request, the current time.
+func (c *Conn) HandlerStarted() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == stateHandled || c.state == stateIdle { // the request was pipelined
@@ -210,7 +210,7 @@
 // request may wait longer than that to be read, so the socket must have no unread bytes.
 func (c *Conn) closeIfIdle() {
 	c.mu.Lock()
-	idle := !c.closed && c.state == stateIdle && time.Since(c.stateSince) >= minIdleTime && !targetconn.Readable(c.Conn)
+	idle := !c.closed && c.state == stateIdle && time.Since(c.stateSince) >= minIdleTime && !targetconn.HasUnreadBytes(c.Conn)
 	if idle {
 		c.closed = true
 	}
@@ -221,9 +221,9 @@
 	}
 }
 
-// Present reports whether the caller has not closed the connection. It checks the socket
-// itself, because the goroutine of Watch may not have run yet.
-func (c *Conn) Present() bool { return targetconn.Open(c.Conn) }
+// Connected reports whether the caller has not closed the connection. It checks the socket
+// itself, because the goroutine of WatchDisconnect may not have run yet.
+func (c *Conn) Connected() bool { return targetconn.IsOpen(c.Conn) }
 
 // LingerOnClose makes Close read and discard the rest of the request for up to a second
 // before it closes the connection. Closing a connection with unread bytes resets it, and the
@@ -268,11 +268,11 @@
 	}
 }
 
-// Watch starts a goroutine that calls onDisconnect once if the caller closes the connection,
-// or its sending side, before stop is called. It must only be used while the server does not
-// read. stop returns after the goroutine has ended, so that the server may read again. After
-// 64 KiB of pipelined requests a disconnect is not detected any more.
-func (c *Conn) Watch(onDisconnect func()) (stop func()) {
+// WatchDisconnect starts a goroutine that calls onDisconnect once if the caller closes the
+// connection, or its sending side, before stop is called. It must only be used while the
+// server does not read. stop returns after the goroutine has ended, so that the server may
+// read again. After 64 KiB of pipelined requests a disconnect is not detected any more.
+func (c *Conn) WatchDisconnect(onDisconnect func()) (stop func()) {
 	if c.Conn.SetReadDeadline(time.Time{}) != nil {
 		onDisconnect()
 		return func() {}
--- a/internal/callerconn/fault.go
+++ b/internal/callerconn/fault.go
@@ -7,26 +7,27 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ReadFault is the reason why the server could not read a request.
-type ReadFault uint8
+// ReadErrorKind is the reason why the server could not read a request.
+type ReadErrorKind uint8
 
 // Reasons for which a request cannot be read.
 const (
-	Malformed    ReadFault = iota // any other reason
-	BodyTooLarge                  // the body exceeds the server's limit
-	HeadTooLarge                  // the header exceeds the server's read buffer
-	TimedOut                      // the request was not received in time
+	Malformed      ReadErrorKind = iota // any other reason
+	BodyTooLarge                        // the body exceeds the server's limit
+	HeaderTooLarge                      // the header exceeds the server's read buffer
+	TimedOut                            // the request was not received in time
 )
 
-// ReadFaultOf classifies an error that the server passed to its error handler.
-func ReadFaultOf(err error) ReadFault {
+// ClassifyReadError classifies an error that the server passed to its error
+// handler.
+func ClassifyReadError(err error) ReadErrorKind {
 	var small *fasthttp.ErrSmallBuffer
 	var ne net.Error
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return BodyTooLarge
 	case errors.As(err, &small):
-		return HeadTooLarge
+		return HeaderTooLarge
 	case errors.As(err, &ne) && ne.Timeout():
 		return TimedOut
 	}
--- a/internal/callerconn/present_test.go
+++ b/internal/callerconn/present_test.go
@@ -10,7 +10,7 @@
 
 // Guards against reporting a disconnected caller as connected because no goroutine has read
 // its connection yet.
-func TestPresentDetectsDisconnect(t *testing.T) {
+func TestConnectedDetectsDisconnect(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -21,16 +21,16 @@
 	is.NoErr(err)
 	defer nc.Close()
 	c := NewTracker(nil, nil).add(nc)
-	is.True(c.Present())
+	is.True(c.Connected())
 	_, err = caller.Write([]byte("more"))
 	is.NoErr(err)
 	time.Sleep(10 * time.Millisecond)
-	is.True(c.Present()) // unread bytes do not mean a disconnect
+	is.True(c.Connected()) // unread bytes do not mean a disconnect
 	buf := make([]byte, 4)
 	_, err = nc.Read(buf)
 	is.NoErr(err)
 	caller.Close()
-	for begin := time.Now(); c.Present(); time.Sleep(time.Millisecond) {
+	for begin := time.Now(); c.Connected(); time.Sleep(time.Millisecond) {
 		is.True(time.Since(begin) < 5*time.Second)
 	}
 }
--- a/internal/callerconn/tracker.go
+++ b/internal/callerconn/tracker.go
@@ -21,16 +21,16 @@
 	sentBytes *metrics.Counter // nil = not counted
 	limits    *Limits
 	maxOpen   int // connections at which idle ones are closed; 0 = no limit
-	// TurnedAway counts connections that were closed unread because too many were open.
-	TurnedAway atomic.Uint64
+	// ClosedUnread counts connections that were closed unread because too many were open.
+	ClosedUnread atomic.Uint64
 }
 
 // Limits are the timeouts of a caller's requests. The functions are called before each read,
 // so that a changed configuration takes effect.
 type Limits struct {
-	Idle  func() time.Duration // idle time before a request
-	Head  func() time.Duration // from the first byte to the end of the header
-	Whole func() time.Duration // from the first byte to the end of the body
+	IdleTimeout    func() time.Duration // idle time before a request
+	HeaderTimeout  func() time.Duration // from the first byte to the end of the header
+	RequestTimeout func() time.Duration // from the first byte to the end of the body
 }
 
 // NewTracker returns a tracker that counts the bytes sent to callers in sentBytes, if that is
@@ -39,22 +39,22 @@
 	return &Tracker{open: map[*Conn]struct{}{}, idle: list.New(), sentBytes: sentBytes, limits: limits}
 }
 
-// SetMost sets the number of open connections at which idle ones are closed, the longest
+// SetMaxOpen sets the number of open connections at which idle ones are closed, the longest
 // idle first. 0 = no limit.
-func (t *Tracker) SetMost(n int) {
+func (t *Tracker) SetMaxOpen(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.maxOpen = n
 }
 
-// crowdedRatio is the ratio of open connections to the limit above which Crowded reports true.
-// The rest leaves room for one second of new connections at 1,000 a second. A lower ratio
+// nearLimitRatio is the ratio of open connections to the limit above which NearLimit reports
+// true. The rest leaves room for one second of new connections at 1,000 a second. A lower ratio
 // would make a busy caller reconnect for each request.
-const crowdedRatio = 0.8
+const nearLimitRatio = 0.8
 
-// Crowded reports whether more than 80 % of the limit of connections are open, so that
+// NearLimit reports whether more than 80 % of the limit of connections are open, so that
 // responses should ask callers to close theirs.
-func (t *Tracker) Crowded() bool { return t.openRatio() > crowdedRatio }
+func (t *Tracker) NearLimit() bool { return t.openRatio() > nearLimitRatio }
 
 // openRatio returns the ratio of open connections to the limit; 0 without a limit.
 func (t *Tracker) openRatio() float64 {
@@ -214,7 +214,7 @@
 		if l.tracker.admit() {
 			return l.tracker.add(nc), nil
 		}
-		l.tracker.TurnedAway.Add(1)
+		l.tracker.ClosedUnread.Add(1)
 		_ = nc.Close()
 	}
 }
@@ -248,9 +248,9 @@
 	return errors.WithMessage(err, "serve callers")
 }
 
-// Quiet reports whether no connection was accepted in the last 250 ms. It should be checked
-// before closing the listener: connections that the kernel has accepted but the server has
-// not are reset then.
-func (l *Listener) Quiet() bool {
+// NoRecentAccept reports whether no connection was accepted in the last 250 ms. It should be
+// checked before closing the listener: connections that the kernel has accepted but the server
+// has not are reset then.
+func (l *Listener) NoRecentAccept() bool {
 	return time.Since(epoch)-time.Duration(l.lastAccept.Load()) >= minIdleTime
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -31,11 +31,11 @@
 	Body   []byte
 }
 
-// Bounds holds the time limits of an exchange.
-type Bounds struct {
-	Silence time.Duration // timeout of each single read and write
-	Head    time.Time     // deadline of the response header
-	Hard    time.Time     // deadline of the whole exchange
+// Timeouts holds the time limits of an exchange.
+type Timeouts struct {
+	IOTimeout      time.Duration // timeout of each single read and write
+	HeaderDeadline time.Time     // deadline of the response header
+	Deadline       time.Time     // deadline of the whole exchange
 }
 
 // Failure describes why an exchange has no response.
@@ -65,8 +65,8 @@
 // beforeSend immediately before the first byte is written; an error of beforeSend fails the
 // exchange. When the context ends, the connection is closed. The exchange owns the
 // connection from this call on, also if Open fails.
-func Open(ctx context.Context, pool *targetconn.Pool, conn *targetconn.Conn, r Request, b Bounds, beforeSend func() error) (*Exchange, *Failure) {
-	conn.Arm(b.Silence, b.Head, beforeSend)
+func Open(ctx context.Context, pool *targetconn.Pool, conn *targetconn.Conn, r Request, timeouts Timeouts, beforeSend func() error) (*Exchange, *Failure) {
+	conn.StartRequest(timeouts.IOTimeout, timeouts.HeaderDeadline, beforeSend)
 	x := &Exchange{Conn: conn, pool: pool, isHead: string(r.Header.Method()) == fasthttp.MethodHead}
 	x.stopCancelWatch = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	x.acquireResponse()
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, x.fail(step, err)
 	}
-	conn.SetHard(b.Hard)
+	conn.SetRequestDeadline(timeouts.Deadline)
 	return x, nil
 }
 
@@ -132,11 +132,11 @@
 	return x.readHeader() == nil && x.Resp.StatusCode() >= fasthttp.StatusBadRequest
 }
 
-// Skip discards the response, which belongs to an earlier request, and reads the header of
-// the next one on the connection. It fails for a body that ends only with the connection or
-// exceeds 1 MiB.
-func (x *Exchange) Skip() error {
-	if x.Identity() {
+// SkipResponse discards the response, which belongs to an earlier request, and reads the
+// header of the next one on the connection. It fails for a body that ends only with the
+// connection or exceeds 1 MiB.
+func (x *Exchange) SkipResponse() error {
+	if x.EndsWithConnection() {
 		return errors.New("the body of a stray response ends only with its connection")
 	}
 	if x.body != nil {
@@ -199,7 +199,7 @@
 		return
 	}
 	notCancelled := x.stopCancelWatch()
-	keep := complete && notCancelled && x.writeComplete() && !x.Resp.ConnectionClose() && !x.Identity() && x.Conn.R.Buffered() == 0
+	keep := complete && notCancelled && x.writeComplete() && !x.Resp.ConnectionClose() && !x.EndsWithConnection() && x.Conn.R.Buffered() == 0
 	x.releaseResponse()
 	if keep {
 		x.pool.Put(x.Conn)
@@ -222,9 +222,9 @@
 	lengthIdentity = -2
 )
 
-// Identity reports whether the body has no length and no chunks, so that it ends only with
-// the connection.
-func (x *Exchange) Identity() bool {
+// EndsWithConnection reports whether the body has no length and no chunks, so that it ends
+// only with the connection.
+func (x *Exchange) EndsWithConnection() bool {
 	return x.body != nil && x.Resp.Header.ContentLength() == lengthIdentity
 }
 
@@ -237,17 +237,17 @@
 	}
 	n, err := x.body.Read(p)
 	if n > 0 {
-		x.Conn.Progress()
+		x.Conn.BodyRead()
 	}
-	if err == io.EOF && x.Identity() && x.Conn.ReadFailure != io.EOF {
+	if err == io.EOF && x.EndsWithConnection() && x.Conn.ReadFailure != io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// Ended reports whether only the last chunk of a chunked body is left and has already been
-// received. It does not wait for the target.
-func (x *Exchange) Ended() bool {
+// LastChunkReceived reports whether only the last chunk of a chunked body is left and has
+// already been received. It does not wait for the target.
+func (x *Exchange) LastChunkReceived() bool {
 	const lastChunk = "0\r\n\r\n"
 	if x.Resp.Header.ContentLength() != lengthChunked || x.Conn.R.Buffered() < len(lastChunk) {
 		return false
--- a/internal/exchange/headers.go
+++ b/internal/exchange/headers.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// StripAnswer removes the hop-by-hop headers of a response and those that its Connection
-// header lists.
-func StripAnswer(h *fasthttp.ResponseHeader) {
+// StripResponse removes the hop-by-hop headers of a response and those that its
+// Connection header lists.
+func StripResponse(h *fasthttp.ResponseHeader) {
 	for name := range strings.SplitSeq(string(h.Peek("Connection")), ",") {
 		if name = strings.TrimSpace(name); name != "" && !strings.EqualFold(name, "close") {
 			h.Del(name)
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// MaxEvent limits the memory of one event: the stream fails if an event is still
+	// MaxEventBytes limits the memory of one event: the stream fails if an event is still
 	// incomplete beyond this size.
-	MaxEvent = 4 << 20 // bytes
-	// maxFillerBytes limits consecutive comments and other blocks without data. A target
+	MaxEventBytes = 4 << 20 // bytes
+	// maxNoDataBytes limits consecutive comments and other blocks without data. A target
 	// that sends a comment of a few bytes each second reaches it only after an hour.
-	maxFillerBytes    = 64 << 10 // bytes
+	maxNoDataBytes    = 64 << 10 // bytes
 	initialBufferSize = 4 << 10  // bytes
 )
 
 // Errors after which a stream cannot be read further. Their texts can reach callers in a
 // refusal.
 var (
-	// ErrTooLarge reports an event that is incomplete after more than MaxEvent bytes.
+	// ErrTooLarge reports an event that is incomplete after more than MaxEventBytes.
 	ErrTooLarge = errors.New("server-sent event exceeds the size limit")
-	// ErrFiller reports more than 64 KiB of consecutive comments or other blocks without data.
-	ErrFiller = errors.New("comments without end instead of events")
+	// ErrNoData reports more than 64 KiB of consecutive comments or other blocks without data.
+	ErrNoData = errors.New("comments without end instead of events")
 )
 
 // Event is one block of a stream of server-sent events; a block of comments only is an Event
 // without data. Its slices are valid until the next call of Reader.Next.
 type Event struct {
-	Raw     []byte // the block with its blank line, unchanged
-	Data    []byte // the data lines joined by line feeds
-	ID      uint64 // valid if HasID
-	HasData bool
-	HasID   bool
-	BadID   bool // the id field is not a decimal number that fits 64 bits
+	Raw       []byte // the block with its blank line, unchanged
+	Data      []byte // the data lines joined by line feeds
+	ID        uint64 // valid if HasID
+	HasData   bool
+	HasID     bool
+	InvalidID bool // the id field is not a decimal number that fits 64 bits
 
 	dataCopied bool // Data is a copy and not a part of Raw
 }
@@ -58,7 +58,7 @@
 
 	memory        *overload.MemoryLimit // shared by all readers
 	reservedBytes int                   // bytes reserved from memory; the initial buffer is not counted
-	fillerBytes   int                   // bytes of blocks without data since the last event with data
+	noDataBytes   int                   // bytes of blocks without data since the last event with data
 }
 
 // NewReader returns a reader of a stream. It reserves memory from m when its buffer grows
@@ -75,18 +75,18 @@
 
 // Next returns the next complete event. At the end of the source it returns the source's
 // error; bytes after the last blank line are not an event and are not returned. Other errors
-// are ErrTooLarge, ErrFiller and overload.ErrNoMemory. After an error Next keeps returning it.
+// are ErrTooLarge, ErrNoData and overload.ErrNoMemory. After an error Next keeps returning it.
 func (r *Reader) Next() (Event, error) {
 	for {
 		if end := r.nextBlockEnd(); end > 0 {
 			raw := r.buf[r.start:end]
 			r.start = end
 			e := Parse(raw)
-			if r.fillerBytes += len(raw); e.HasData {
-				r.fillerBytes = 0
+			if r.noDataBytes += len(raw); e.HasData {
+				r.noDataBytes = 0
 			}
-			if r.fillerBytes > maxFillerBytes {
-				r.err = ErrFiller
+			if r.noDataBytes > maxNoDataBytes {
+				r.err = ErrNoData
 				return Event{}, r.err
 			}
 			return e, nil
@@ -94,7 +94,7 @@
 		if r.err != nil {
 			return Event{}, r.err
 		}
-		if len(r.buf)-r.start > MaxEvent {
+		if len(r.buf)-r.start > MaxEventBytes {
 			r.err = ErrTooLarge
 			return Event{}, r.err
 		}
@@ -175,9 +175,9 @@
 		e.Data = append(append(e.Data, '\n'), value...)
 	case "id":
 		n, err := strconv.ParseUint(string(value), 10, 64)
-		e.ID, e.HasID, e.BadID = n, err == nil, err != nil
+		e.ID, e.HasID, e.InvalidID = n, err == nil, err != nil
 	}
 }
 
-// Rest returns the number of bytes received after the last event that Next returned.
-func (r *Reader) Rest() int { return len(r.buf) - r.start }
+// Unconsumed returns the number of bytes received after the last event that Next returned.
+func (r *Reader) Unconsumed() int { return len(r.buf) - r.start }
--- a/internal/sse/reader_test.go
+++ b/internal/sse/reader_test.go
@@ -34,14 +34,14 @@
 	}{
 		"no blank line":     {"data: more\n", ErrTooLarge},
 		"no line end":       {"x", ErrTooLarge},
-		"comments":          {": still here\n\n", ErrFiller},
-		"empty blocks":      {"\n", ErrFiller},
-		"numbers, no data":  {"id: 7\n\n", ErrFiller},
-		"comments in blank": {":\r\n\r\n", ErrFiller},
+		"comments":          {": still here\n\n", ErrNoData},
+		"empty blocks":      {"\n", ErrNoData},
+		"numbers, no data":  {"id: 7\n\n", ErrNoData},
+		"comments in blank": {":\r\n\r\n", ErrNoData},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			memory := overload.NewMemoryLimit(3 * MaxEvent)
+			memory := overload.NewMemoryLimit(3 * MaxEventBytes)
 			r := NewReader(&repeatingReader{text: c.text}, memory)
 			var err error
 			for err == nil {
@@ -61,7 +61,7 @@
 func TestCommentLimitRestartsAfterEvent(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat(strings.Repeat(": still here\n\n", 1000)+"data: e\n\n", 50)
-	r := NewReader(strings.NewReader(text), overload.NewMemoryLimit(MaxEvent))
+	r := NewReader(strings.NewReader(text), overload.NewMemoryLimit(MaxEventBytes))
 	events := 0
 	for {
 		e, err := r.Next()
@@ -106,7 +106,7 @@
 func TestManyDataLines(t *testing.T) {
 	is := is.New(t)
 	const lines = 500_000
-	r := NewReader(strings.NewReader(strings.Repeat("data:x\n", lines)+"\n"), overload.NewMemoryLimit(3*MaxEvent))
+	r := NewReader(strings.NewReader(strings.Repeat("data:x\n", lines)+"\n"), overload.NewMemoryLimit(3*MaxEventBytes))
 	begin := time.Now()
 	e, err := r.Next()
 	is.NoErr(err)
--- a/internal/targetconn/conn.go
+++ b/internal/targetconn/conn.go
@@ -29,9 +29,9 @@
 	// ErrOverhead reports a target that has sent more than 64 KiB since the last byte of a
 	// response body.
 	ErrOverhead = errors.New("the target sends bytes that are no answer")
-	// ErrNameless reports a response without a request ID on a reused connection: it may be
-	// a second response to the earlier request.
-	ErrNameless = errors.New("the answer does not say to which request it belongs")
+	// ErrNoRequestID reports a response without a request ID on a reused connection: it may
+	// be a second response to the earlier request.
+	ErrNoRequestID = errors.New("the answer does not say to which request it belongs")
 )
 
 // Conn is a connection to a target that carries one request at a time. It runs a check
@@ -43,10 +43,11 @@
 	W *bufio.Writer
 
 	// Sent is the number of bytes of the request that the kernel accepted, Received the
-	// number of bytes received since Arm.
+	// number of bytes received since StartRequest.
 	Sent, Received int64
-	// ReadFailure and WriteFailure are the first errors of the connection itself since Arm.
-	// They are kept because fasthttp reports some read errors as the end of the stream.
+	// ReadFailure and WriteFailure are the first errors of the connection itself since
+	// StartRequest. They are kept because fasthttp reports some read errors as the end of
+	// the stream.
 	ReadFailure, WriteFailure error
 	// Reused reports whether the connection came from the pool, after an earlier request.
 	Reused bool
@@ -59,7 +60,7 @@
 	beforeSend    func() error  // called before the first byte of a request; nil = none
 	ioTimeout     time.Duration // of a single read or write
 	idleSince     time.Time
-	overheadBytes int // bytes received since the last call of Progress
+	overheadBytes int // bytes received since the last call of BodyRead
 }
 
 func newConn(nc net.Conn, host string) *Conn {
@@ -88,32 +89,32 @@
 	c.R, c.W = nil, nil
 }
 
-// Arm prepares the connection for one request and resets its counters and errors. Each
-// single read or write must end within ioTimeout, and all of them before the deadline.
+// StartRequest prepares the connection for one request and resets its counters and errors.
+// Each single read or write must end within ioTimeout, and all of them before the deadline.
 // beforeSend is called before the first byte is written; its error fails the write.
-func (c *Conn) Arm(ioTimeout time.Duration, deadline time.Time, beforeSend func() error) {
+func (c *Conn) StartRequest(ioTimeout time.Duration, deadline time.Time, beforeSend func() error) {
 	c.ioTimeout, c.beforeSend = ioTimeout, beforeSend
-	c.SetHard(deadline)
+	c.SetRequestDeadline(deadline)
 	c.Sent, c.Received, c.ReadFailure, c.WriteFailure = 0, 0, nil, nil
 	c.overheadBytes = 0
 }
 
-// Progress reports that bytes of a response body have been read, which restarts the limit of
+// BodyRead reports that bytes of a response body have been read, which restarts the limit of
 // ErrOverhead.
-func (c *Conn) Progress() { c.overheadBytes = 0 }
+func (c *Conn) BodyRead() { c.overheadBytes = 0 }
 
 // epoch is the reference of stored times. They use the monotonic clock, because the time of
 // day may jump.
 var epoch = time.Now()
 
-// SetHard sets the deadline of all reads and writes of the request.
-func (c *Conn) SetHard(t time.Time) { c.hardDeadline.Store(int64(t.Sub(epoch))) }
+// SetRequestDeadline sets the deadline of all reads and writes of the request.
+func (c *Conn) SetRequestDeadline(t time.Time) { c.hardDeadline.Store(int64(t.Sub(epoch))) }
 
-// Hard returns the deadline of all reads and writes of the request.
-func (c *Conn) Hard() time.Time { return epoch.Add(time.Duration(c.hardDeadline.Load())) }
+// RequestDeadline returns the deadline of all reads and writes of the request.
+func (c *Conn) RequestDeadline() time.Time { return epoch.Add(time.Duration(c.hardDeadline.Load())) }
 
-// Failure returns the first write error of the connection since Arm, or else the first read
-// error, or nil.
+// Failure returns the first write error of the connection since StartRequest, or else the
+// first read error, or nil.
 func (c *Conn) Failure() error {
 	if c.WriteFailure != nil {
 		return c.WriteFailure
@@ -124,7 +125,7 @@
 // ioDeadline returns the deadline of a read or write that starts now.
 func (c *Conn) ioDeadline() time.Time {
 	t := time.Now().Add(c.ioTimeout)
-	if deadline := c.Hard(); t.After(deadline) {
+	if deadline := c.RequestDeadline(); t.After(deadline) {
 		return deadline
 	}
 	return t
@@ -181,15 +182,15 @@
 	return c.R.Buffered() == 0 && peekState(c.Conn) == stateOpen
 }
 
-// Open reports whether the peer of a connection has not closed it, without reading from it.
-// A connection with unread bytes is open.
-func Open(conn net.Conn) bool {
+// IsOpen reports whether the peer of a connection has not closed it, without reading from
+// it. A connection with unread bytes is open.
+func IsOpen(conn net.Conn) bool {
 	s := peekState(conn)
 	return s == stateOpen || s == stateReadable
 }
 
-// Readable reports whether the connection has unread bytes, without reading them.
-func Readable(conn net.Conn) bool { return peekState(conn) == stateReadable }
+// HasUnreadBytes reports whether the connection has unread bytes, without reading them.
+func HasUnreadBytes(conn net.Conn) bool { return peekState(conn) == stateReadable }
 
 // socketState is what can be read from a socket without waiting.
 type socketState int
@@ -228,8 +229,8 @@
 	return s
 }
 
-// LocalFault reports whether a dial failed because this host has no file descriptor or local
-// port left. Such an error must not count against the target.
-func LocalFault(err error) bool {
+// IsLocalError reports whether a dial failed because this host has no file descriptor or
+// local port left. Such an error must not count against the target.
+func IsLocalError(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
--- a/internal/targetconn/pool.go
+++ b/internal/targetconn/pool.go
@@ -58,11 +58,11 @@
 }
 
 // Take returns an idle connection to an address that is still open, or nil.
-func (p *Pool) Take(host string) *Conn { return p.TakeFresh(host, p.options.IdleLimit) }
+func (p *Pool) Take(host string) *Conn { return p.TakeIdleWithin(host, p.options.IdleLimit) }
 
-// TakeFresh returns an idle connection to an address that was used within the limit and is
-// still open, or nil. Connections that do not qualify are closed.
-func (p *Pool) TakeFresh(host string, limit time.Duration) *Conn {
+// TakeIdleWithin returns an idle connection to an address that was used within the limit and
+// is still open, or nil. Connections that do not qualify are closed.
+func (p *Pool) TakeIdleWithin(host string, limit time.Duration) *Conn {
 	for {
 		c := p.Pop(host)
 		if c == nil {
@@ -113,9 +113,9 @@
 	p.idle[c.Host] = append(p.idle[c.Host], c)
 }
 
-// Drop closes all idle connections to an address. After one of them failed or timed out, the
-// others may be unusable too.
-func (p *Pool) Drop(host string) {
+// CloseIdle closes all idle connections to an address. After one of them failed or timed
+// out, the others may be unusable too.
+func (p *Pool) CloseIdle(host string) {
 	p.mu.Lock()
 	list := p.idle[host]
 	delete(p.idle, host)
--- a/plugin/dispatch/attempt_test.go
+++ b/plugin/dispatch/attempt_test.go
@@ -31,7 +31,7 @@
 			refuseFrom(2)(env, nil)
 			conn, err := env.d.conns.Dial(t.Context(), target.addr)
 			is.NoErr(err)
-			conn.Arm(time.Second, time.Now().Add(time.Minute), func() error { return env.d.checkTarget("t1") })
+			conn.StartRequest(time.Second, time.Now().Add(time.Minute), func() error { return env.d.checkTarget("t1") })
 			lose(env) // after the connection was opened
 			n, err := conn.Write([]byte("POST / HTTP/1.1\r\n\r\n"))
 			is.Equal(n, 0)
@@ -69,7 +69,7 @@
 		is.Equal(openedConns(target), []int{1, 1, 2, 2}[i]) // reused, except for POST
 	}
 	idle := env.d.conns.Pop(target.addr)
-	eventually(t, "the target's close arrived", func() bool { return !targetconn.Open(idle.Conn) })
+	eventually(t, "the target's close arrived", func() bool { return !targetconn.IsOpen(idle.Conn) })
 	env.d.conns.Put(idle)
 	env.wantBody(serviceRequest("GET"), "ok")
 	env.wantBody(serviceRequest("GET"), "ok")
--- a/plugin/dispatch/events_test.go
+++ b/plugin/dispatch/events_test.go
@@ -143,7 +143,7 @@
 // Guards against an event of unlimited size that exhausts the memory.
 func TestEventTooLarge(t *testing.T) {
 	is := is.New(t)
-	_, _, err := readEvents(strings.NewReader(strings.Repeat("data: x\n", sse.MaxEvent/4)))
+	_, _, err := readEvents(strings.NewReader(strings.Repeat("data: x\n", sse.MaxEventBytes/4)))
 	is.Equal(err, sse.ErrTooLarge)
 }
 
--- a/plugin/dispatch/exchange.go
+++ b/plugin/dispatch/exchange.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, &fault{step: "connect", cause: err}
 	}
-	conn.Arm(limits.ioTimeout, limits.headerDeadline, check)
+	conn.StartRequest(limits.ioTimeout, limits.headerDeadline, check)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	x := &exchange{d: d, conn: conn, stopCancelWatch: stop, requestID: id, resp: fasthttp.AcquireResponse()}
 	x.resp.StreamBody = true
@@ -66,7 +66,7 @@
 		return nil, x.fail(step, err)
 	}
 	x.body = x.resp.BodyStream()
-	conn.SetHard(limits.deadline)
+	conn.SetRequestDeadline(limits.deadline)
 	return x, nil
 }
 
@@ -85,7 +85,7 @@
 	}
 	x.idEchoed = x.requestID != "" && string(x.resp.Header.Peek(headerRequestID)) == x.requestID
 	if x.conn.Reused && !x.idEchoed {
-		return "head", targetconn.ErrNameless
+		return "head", targetconn.ErrNoRequestID
 	}
 	return "", nil
 }
@@ -179,7 +179,7 @@
 	}
 	n, err := x.body.Read(p)
 	if n > 0 {
-		x.conn.Progress()
+		x.conn.BodyRead()
 	}
 	if err == io.EOF && x.resp.Header.ContentLength() == lengthIdentity {
 		err = io.ErrUnexpectedEOF
--- a/plugin/dispatch/plain.go
+++ b/plugin/dispatch/plain.go
@@ -97,7 +97,7 @@
 // returns its fault.
 func (r *plainResponse) failBeforeHeader(err error) error {
 	f := &fault{step: "body", cause: err, sentBytes: r.exchange.conn.Sent}
-	limits := timeLimits{headerDeadline: r.exchange.conn.Hard(), deadline: r.exchange.conn.Hard()}
+	limits := timeLimits{headerDeadline: r.exchange.conn.RequestDeadline(), deadline: r.exchange.conn.RequestDeadline()}
 	connClosed := r.exchange.conn.Failure() == io.EOF
 	r.exchange.close(false)
 	f.classify(limits)
@@ -180,7 +180,7 @@
 		result, r.finalErr = api.ResultCancelled, errCallerDisconnected
 	} else {
 		r.call.stats.brokenResponses.Inc()
-		r.call.d.conns.Drop(r.attempt.grant.Address)
+		r.call.d.conns.CloseIdle(r.attempt.grant.Address)
 		r.attempt.failureDetail = cause.Error()
 		r.call.d.recordEvent("answer", "broken", r.call, r.attempt.grant.Target, cause.Error())
 		r.finalErr = &api.Refusal{
--- a/plugin/dispatch/sequence.go
+++ b/plugin/dispatch/sequence.go
@@ -33,7 +33,7 @@
 // event and the early ones that follow it.
 func (q *sequencer) push(e *sse.Event) ([]byte, verdict) {
 	switch {
-	case e.BadID && !q.unnumbered:
+	case e.InvalidID && !q.unnumbered:
 		return nil, verdictBroken
 	case e.Done():
 		if len(q.early) > 0 || (e.HasID && !q.unnumbered && e.ID > q.lastDelivered+1) {
--- a/plugin/dispatch/setup.go
+++ b/plugin/dispatch/setup.go
@@ -30,7 +30,7 @@
 
 // maxEventMemory bounds the memory for reading events, summed over all streams and
 // without the initial buffer of each: sixteen events of the largest size.
-const maxEventMemory = 16 * sse.MaxEvent // bytes
+const maxEventMemory = 16 * sse.MaxEventBytes // bytes
 
 // Dispatcher implements api.Dispatcher and the kernel's plug-in interfaces. Provision
 // must be called before use.
--- a/plugin/dispatch/start.go
+++ b/plugin/dispatch/start.go
@@ -48,7 +48,7 @@
 	x, f := c.d.open(ctx, m, c.req.NonIdempotent, limits, check)
 	if f != nil && f.staleConnection() && !c.req.NonIdempotent && ctx.Err() == nil {
 		c.countSend(f)
-		c.d.conns.Drop(m.host)
+		c.d.conns.CloseIdle(m.host)
 		x, f = c.d.open(ctx, m, true, limits, check)
 	}
 	if f != nil {
@@ -94,12 +94,12 @@
 	cancelled := c.workContext().Err() != nil
 	result, cost := api.ResultFailed, c.serviceCost(a)
 	switch {
-	case f.sentBytes == 0 && (cancelled || f.code == codeNotStarted || targetconn.LocalFault(f.cause)):
+	case f.sentBytes == 0 && (cancelled || f.code == codeNotStarted || targetconn.IsLocalError(f.cause)):
 		result, cost = api.ResultNotStarted, 0
 	case cancelled:
 		result = api.ResultCancelled
 	default:
-		c.d.conns.Drop(a.grant.Address)
+		c.d.conns.CloseIdle(a.grant.Address)
 	}
 	return func() { a.finish(result, cost) }
 }
--- a/plugin/dispatch/stream.go
+++ b/plugin/dispatch/stream.go
@@ -47,7 +47,7 @@
 func (c *call) openStream(a *attempt, x *exchange, state targetState) (api.Response, error) {
 	r := &streamResponse{
 		call: c, attempt: a, exchange: x, head: c.responseHeader(a, x, -1), streamID: state.streamID,
-		reader: sse.NewReader(readFunc(x.read), c.d.eventMemory), lastEventAt: time.Now(), deadline: x.conn.Hard(),
+		reader: sse.NewReader(readFunc(x.read), c.d.eventMemory), lastEventAt: time.Now(), deadline: x.conn.RequestDeadline(),
 	}
 	for len(r.pending) == 0 {
 		if err := r.readEvent(); err != nil {
@@ -175,7 +175,7 @@
 	r.closeExchange()
 	r.call.cancel()
 	if result == api.ResultFailed {
-		r.call.d.conns.Drop(r.attempt.grant.Address)
+		r.call.d.conns.CloseIdle(r.attempt.grant.Address)
 	}
 	r.call.cancelStream(r.attempt.grant.Address, r.streamID, func() { r.attempt.finish(result, r.cost) })
 }
--- a/plugin/entry/drain.go
+++ b/plugin/entry/drain.go
@@ -41,7 +41,7 @@
 // waitForNoNewConnections waits until no connection has arrived for a while, at most for
 // the grace time.
 func (s *Server) waitForNoNewConnections(ctx context.Context) error {
-	for end := time.Now().Add(s.stopGrace); time.Now().Before(end) && !s.listener.Quiet(); {
+	for end := time.Now().Add(s.stopGrace); time.Now().Before(end) && !s.listener.NoRecentAccept(); {
 		if err := sleep(ctx, drainPoll); err != nil {
 			return err
 		}
--- a/plugin/entry/handler.go
+++ b/plugin/entry/handler.go
@@ -27,7 +27,7 @@
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	conn, _ := ctx.Conn().(*callerconn.Conn)
 	if conn != nil {
-		defer conn.Served()
+		defer conn.HandlerReturned()
 	}
 	s.stats.receivedBytes.Add(len(ctx.Request.Body()))
 	r, refusal := s.parseRequest(ctx)
@@ -48,7 +48,7 @@
 	r.Disconnected = workCtx.Done()
 	stopWatch := func() {}
 	if conn != nil {
-		stopWatch = conn.Watch(func() { s.stats.disconnected.Inc(); cancel() })
+		stopWatch = conn.WatchDisconnect(func() { s.stats.disconnected.Inc(); cancel() })
 	}
 	s.forward(ctx, workCtx, r, func() { stopWatch(); cancel(); releaseBody() })
 	s.closeIfDraining(ctx)
--- a/plugin/entry/refuse.go
+++ b/plugin/entry/refuse.go
@@ -114,10 +114,10 @@
 // the caller would lose the refusal.
 func (s *Server) handleMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r := badRequest("the request is malformed")
-	switch callerconn.ReadFaultOf(err) {
+	switch callerconn.ClassifyReadError(err) {
 	case callerconn.BodyTooLarge:
 		r = s.bodyRefusal(&ctx.Request.Header)
-	case callerconn.HeadTooLarge:
+	case callerconn.HeaderTooLarge:
 		r = newRefusal(fasthttp.StatusRequestHeaderFieldsTooLarge, codeHeadTooLarge,
 			"the head exceeds "+strconv.Itoa(headerBuffer)+" bytes")
 	case callerconn.TimedOut:
--- a/plugin/forward/call.go
+++ b/plugin/forward/call.go
@@ -278,7 +278,7 @@
 		if !a.call.req.Route.Retryable() {
 			limit = maxIdleBeforeNonRetryable
 		}
-		if conn := f.conns.TakeFresh(address, limit); conn != nil {
+		if conn := f.conns.TakeIdleWithin(address, limit); conn != nil {
 			f.stats.reusedConns.Inc()
 			return conn, nil
 		}
@@ -287,7 +287,7 @@
 	conn, err := f.conns.Dial(a.call.ctx, address)
 	if err != nil {
 		outcome := api.AttemptUnreachable
-		if targetconn.LocalFault(err) || a.call.ctx.Err() != nil {
+		if targetconn.IsLocalError(err) || a.call.ctx.Err() != nil {
 			outcome = api.AttemptUnsent
 		}
 		return nil, &attemptFailure{outcome: outcome, step: "connect", cause: err, notRun: true}
@@ -301,9 +301,9 @@
 	defer fasthttp.ReleaseRequest(header)
 	remaining := a.call.remaining()
 	deadline := time.Now().Add(remaining)
-	bounds := exchange.Bounds{Silence: remaining, Head: deadline, Hard: deadline}
+	timeouts := exchange.Timeouts{IOTimeout: remaining, HeaderDeadline: deadline, Deadline: deadline}
 	return exchange.Open(a.call.ctx, a.call.fwd.conns, conn,
-		exchange.Request{Header: &header.Header, Body: a.call.req.Body}, bounds, a.beforeSend)
+		exchange.Request{Header: &header.Header, Body: a.call.req.Body}, timeouts, a.beforeSend)
 }
 
 // errCallerDisconnected ends an attempt whose caller has closed its connection.
@@ -370,11 +370,11 @@
 			return fields, nil
 		}
 		if fields.RequestID == "" {
-			return fields, &attemptFailure{outcome: api.AttemptIncomplete, step: "head", cause: targetconn.ErrNameless}
+			return fields, &attemptFailure{outcome: api.AttemptIncomplete, step: "head", cause: targetconn.ErrNoRequestID}
 		}
 		a.call.fwd.stats.strayResponses.Inc()
 		a.call.log.Warn("response to another request discarded", "step", "head", "target", a.placement.Target().ID, "belongs_to", fields.RequestID)
-		if err := a.exchange.Skip(); err != nil {
+		if err := a.exchange.SkipResponse(); err != nil {
 			return fields, &attemptFailure{outcome: api.AttemptIncomplete, step: "head", cause: err}
 		}
 	}
@@ -433,7 +433,7 @@
 		a.call.mayHaveRun = true
 	}
 	if failure.outcome == api.AttemptIncomplete || failure.outcome == api.AttemptTimedOut || failure.outcome == api.AttemptWrongTarget {
-		a.call.fwd.conns.Drop(a.placement.Target().Address)
+		a.call.fwd.conns.CloseIdle(a.placement.Target().Address)
 	}
 	a.call.log.Warn("attempt failed", "step", failure.step, "target", a.placement.Target().ID, "outcome", string(failure.outcome),
 		"not_run", failure.notRun, "took_ms", a.elapsed().Milliseconds(), "error", failure.cause)
--- a/plugin/forward/stream.go
+++ b/plugin/forward/stream.go
@@ -95,7 +95,7 @@
 func (s *streamResponse) readEvent() error {
 	e, err := s.reader.Next()
 	if err == io.EOF {
-		if s.reader.Rest() > 0 {
+		if s.reader.Unconsumed() > 0 {
 			return errTruncatedEvent
 		}
 		s.finish()
--- a/plugin/gateway/callers_test.go
+++ b/plugin/gateway/callers_test.go
@@ -218,7 +218,7 @@
 // Guards against connections that are closed without a response when too many are open.
 func TestManyConnections(t *testing.T) {
 	r := newRig(t, newTarget(t, "t1", respondWith("ok")))
-	r.gateway.conns.SetMost(20)
+	r.gateway.conns.SetMaxOpen(20)
 	r.configure(1)
 	var open []*caller
 	for range 30 {
@@ -278,7 +278,7 @@
 		write(c, fullResponse(200, attemptID(r), "ok"))
 	})
 	r := newRig(t, x).configure(1)
-	r.gateway.conns.SetMost(10)
+	r.gateway.conns.SetMaxOpen(10)
 	var busy []*caller
 	for i := range 13 {
 		c := r.dial()
@@ -293,7 +293,7 @@
 	r.is.True(err != nil) // closed without reading a request
 	n, _ := r.gateway.conns.Count()
 	r.is.Equal(n, 13)
-	r.is.Equal(r.gateway.conns.TurnedAway.Load(), uint64(1))
+	r.is.Equal(r.gateway.conns.ClosedUnread.Load(), uint64(1))
 	close(release)
 	for _, c := range busy {
 		c.want(200, "ok")
--- a/plugin/gateway/drain.go
+++ b/plugin/gateway/drain.go
@@ -37,7 +37,7 @@
 		if g.clock.Now()-begin >= min(drainAdmitTime, limit/2) && !g.admissionClosed.Swap(true) {
 			logqueue.Notice(g.log, "refusing new requests", "step", "drain")
 		}
-		if !closed && g.clock.Now()-begin >= deregistrationDelay && g.listener.Quiet() {
+		if !closed && g.clock.Now()-begin >= deregistrationDelay && g.listener.NoRecentAccept() {
 			closed = true
 			_ = g.listener.Close() // the balancer sends no more connections
 			logqueue.Notice(g.log, "listener closed", "step", "drain")
--- a/plugin/gateway/handler.go
+++ b/plugin/gateway/handler.go
@@ -23,8 +23,8 @@
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError) // the connection is not from callerconn.Listener
 		return
 	}
-	defer conn.Served()
-	arrived := g.clock.Now() - time.Since(conn.Begin())
+	defer conn.HandlerReturned()
+	arrived := g.clock.Now() - time.Since(conn.HandlerStarted())
 	r, refusal := g.admit(ctx, arrived)
 	if refusal == nil && g.admissionClosed.Load() {
 		refusal = newRefusal(fasthttp.StatusServiceUnavailable, codeStopping, "the instance stops")
@@ -48,9 +48,9 @@
 	g.log.Info("admitted", "step", "admit", "request", r.ID, "route", r.Route.Name, "kind", r.Route.Kind.String(),
 		"service", r.Service, "workspace", r.Workspace, "version", g.table.Load().Version,
 		"prompt_tokens", r.Fields.PromptTokens, "output_tokens", r.Fields.MaxOutputTokens, "left_ms", (r.Deadline - g.clock.Now()).Milliseconds())
-	r.CallerConnected = conn.Present
+	r.CallerConnected = conn.Connected
 	workCtx, cancel := context.WithCancel(context.Background())
-	stopWatch := conn.Watch(func() {
+	stopWatch := conn.WatchDisconnect(func() {
 		g.stats.disconnected.Inc()
 		g.log.Info("caller left", "step", "caller", "request", r.ID, "after_ms", (g.clock.Now() - r.ReceivedAt).Milliseconds())
 		cancel()
@@ -138,7 +138,7 @@
 		return
 	}
 	resp.Header().CopyTo(&ctx.Response.Header)
-	exchange.StripAnswer(&ctx.Response.Header)
+	exchange.StripResponse(&ctx.Response.Header)
 	if body, ok := resp.CompleteBody(); ok {
 		g.writeBuffered(ctx, r, resp, body, release)
 		return
@@ -169,7 +169,7 @@
 // request. During a planned stop the load balancer sends it to another instance; if
 // many connections are open, it frees one of them.
 func (g *Gateway) closeIfDrainingOrCrowded(ctx *fasthttp.RequestCtx) {
-	if g.draining.Load() || g.conns.Crowded() {
+	if g.draining.Load() || g.conns.NearLimit() {
 		ctx.SetConnectionClose()
 	}
 }
--- a/plugin/gateway/refuse.go
+++ b/plugin/gateway/refuse.go
@@ -91,10 +91,10 @@
 // the caller would lose the refusal.
 func (g *Gateway) handleMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r := badRequest("the request is malformed")
-	switch callerconn.ReadFaultOf(err) {
+	switch callerconn.ClassifyReadError(err) {
 	case callerconn.BodyTooLarge:
 		r = newRefusal(fasthttp.StatusRequestEntityTooLarge, codeBodyTooLarge, "the body exceeds the limit")
-	case callerconn.HeadTooLarge:
+	case callerconn.HeaderTooLarge:
 		r = newRefusal(fasthttp.StatusRequestHeaderFieldsTooLarge, codeHeadTooLarge, "the head exceeds the limit")
 	case callerconn.TimedOut:
 		r = newRefusal(fasthttp.StatusRequestTimeout, codeRequestTimeout, "the request did not arrive in time")
--- a/plugin/gateway/setup.go
+++ b/plugin/gateway/setup.go
@@ -105,8 +105,8 @@
 	memory := c.Settings.Routes.MemoryMB * (1 << 20)
 	g.memory = overload.NewMemoryLimit(int64(requestMemoryShare * memory))
 	g.load = newLoadGate()
-	g.conns = callerconn.NewTracker(g.stats.sentBytes, &callerconn.Limits{Idle: g.idleLimit, Head: g.headerReadLimit, Whole: g.requestReadLimit})
-	g.conns.SetMost(int(min(callerSocketShare*float64(c.Settings.Routes.MaxSockets()), idleMemoryShare*memory/idleConnBytes)))
+	g.conns = callerconn.NewTracker(g.stats.sentBytes, &callerconn.Limits{IdleTimeout: g.idleLimit, HeaderTimeout: g.headerReadLimit, RequestTimeout: g.requestReadLimit})
+	g.conns.SetMaxOpen(int(min(callerSocketShare*float64(c.Settings.Routes.MaxSockets()), idleMemoryShare*memory/idleConnBytes)))
 	g.stats.registerGauges(c.Metrics, g.conns, g.memory, g.load)
 	g.fleet.OnChange(g.applyView)
 	g.http = &fasthttp.Server{
--- a/plugin/gateway/stats.go
+++ b/plugin/gateway/stats.go
@@ -29,7 +29,7 @@
 	set.NewGauge("nutmeg_gateway_connections", func() float64 { open, _ := conns.Count(); return float64(open) })
 	set.NewGauge("nutmeg_gateway_busy_connections", func() float64 { _, busy := conns.Count(); return float64(busy) })
 	set.NewGauge("nutmeg_gateway_request_bytes", func() float64 { return float64(memory.Reserved()) })
-	set.NewGauge("nutmeg_gateway_turned_away", func() float64 { return float64(conns.TurnedAway.Load()) })
+	set.NewGauge("nutmeg_gateway_turned_away", func() float64 { return float64(conns.ClosedUnread.Load()) })
 	set.NewGauge("nutmeg_gateway_late_seconds", func() float64 { return load.schedulingDelay().Seconds() })
 }
 
--- a/plugin/gateway/stray_responses_test.go
+++ b/plugin/gateway/stray_responses_test.go
@@ -114,7 +114,7 @@
 // of another target long before its deadline, the connection must be closed, and little
 // may be read from it.
 func TestEndlessResponses(t *testing.T) {
-	const maxRead = 4 * sse.MaxEvent // includes framing and socket buffers
+	const maxRead = 4 * sse.MaxEventBytes // includes framing and socket buffers
 	stream := "Content-Type: text/event-stream"
 	chunked := "Transfer-Encoding: chunked"
 	for name, c := range map[string]struct {
--- a/plugin/operators/setup.go
+++ b/plugin/operators/setup.go
@@ -124,7 +124,7 @@
 // a disconnected caller is not submitted: the caller may have sent it, and a later one,
 // to another instance meanwhile.
 func (s *Server) submit(ctx *fasthttp.RequestCtx, timeout time.Duration, submission api.Submission) {
-	if !targetconn.Open(ctx.Conn()) {
+	if !targetconn.IsOpen(ctx.Conn()) {
 		s.unavailable(ctx, errors.New("the caller has disconnected"))
 		return
 	}
