--- a/plugin/directory/setup.go
+++ b/plugin/directory/setup.go
@@ -59,7 +59,8 @@
 }
 
 // Provision implements kernel.Plugin. It registers the message handlers and provides
-// api.Directory. It fails if the mesh, the topology, the dialect or the roster is missing.
+// api.Directory. It fails if the mesh, the topology, the dialect or the link manager is
+// missing.
 func (d *Directory) Provision(c *kernel.Context) (err error) {
 	if d.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
@@ -70,7 +71,7 @@
 	if d.dialect, err = kernel.Lookup[api.Dialect](c); err != nil {
 		return err
 	}
-	roster, err := kernel.Lookup[api.LinkManager](c)
+	linkManager, err := kernel.Lookup[api.LinkManager](c)
 	if err != nil {
 		return err
 	}
@@ -88,7 +89,7 @@
 	d.mesh.Handle(updateMethod, d.handleUpdate)
 	d.mesh.Handle(packedMethod, d.handlePacked)
 	d.mesh.Handle(fetchMethod, d.handleFetch)
-	roster.OnLinkChange(d.linkChanged)
+	linkManager.OnLinkChange(d.linkChanged)
 	return kernel.Provide[api.Directory](c, d)
 }
 
--- a/plugin/dispatch/fakes_test.go
+++ b/plugin/dispatch/fakes_test.go
@@ -338,7 +338,7 @@
 	pool      *fakePool
 	lease     *fakeLease
 	control   *fakeControl
-	fleet     *fleet.Holder
+	fleet     *fleet.Store
 }
 
 // keyHash is the SHA-256 of the bearer key "secret".
@@ -365,7 +365,7 @@
 	s.Limits.StopGraceMs = 3000
 	c := kernel.NewContext(s, slog.New(slog.DiscardHandler), kernel.NewClock())
 	env := &testEnv{
-		t: t, kernelCtx: c, d: &Dispatcher{}, lease: &fakeLease{}, fleet: &fleet.Holder{},
+		t: t, kernelCtx: c, d: &Dispatcher{}, lease: &fakeLease{}, fleet: &fleet.Store{},
 		pool:    &fakePool{targets: targets, ended: make(chan api.GrantOutcome, 1<<16)},
 		control: &fakeControl{claims: map[api.ClaimKey]api.ClaimResult{}, settled: make(chan *api.ClaimOutcome, 64)},
 	}
--- a/plugin/entry/entry_test.go
+++ b/plugin/entry/entry_test.go
@@ -57,7 +57,7 @@
 	cfg := &settings.Settings{Instance: "a1", Listen: "127.0.0.1:0"}
 	cfg.Limits.MaxBodyBytes, cfg.Limits.StopGraceMs = 1<<20, 50
 	c := kernel.NewContext(cfg, slog.New(slog.DiscardHandler), kernel.NewClock())
-	f := &fleet.Holder{}
+	f := &fleet.Store{}
 	must(t, f.Provision(c))
 	must(t, kernel.Provide[api.Dispatcher](c, d))
 	s := &Server{}
--- a/plugin/fleet/setup.go
+++ b/plugin/fleet/setup.go
@@ -14,14 +14,14 @@
 	kernel.Register(kernel.Registration{
 		Name:    "fleet",
 		Order:   kernel.OrderFleet,
-		New:     func() kernel.Plugin { return &Holder{} },
+		New:     func() kernel.Plugin { return &Store{} },
 		Enabled: kernel.OnAllProfiles,
 	})
 }
 
-// Holder is the plug-in; it implements api.Fleet and is safe for concurrent use. The zero
+// Store is the plug-in; it implements api.Fleet and is safe for concurrent use. The zero
 // value has an empty view of revision 0.
-type Holder struct {
+type Store struct {
 	view   atomic.Pointer[api.View]
 	events *kernel.Events
 
@@ -30,15 +30,15 @@
 }
 
 // Provision implements kernel.Plugin. It provides api.Fleet.
-func (h *Holder) Provision(c *kernel.Context) error {
-	h.events = c.Events
-	c.Metrics.NewGauge("nutmeg_view_revision", func() float64 { return float64(h.View().Revision) })
-	return kernel.Provide[api.Fleet](c, h)
+func (s *Store) Provision(c *kernel.Context) error {
+	s.events = c.Events
+	c.Metrics.NewGauge("nutmeg_view_revision", func() float64 { return float64(s.View().Revision) })
+	return kernel.Provide[api.Fleet](c, s)
 }
 
 // View implements api.Fleet. It returns an empty view of revision 0 before the first Install.
-func (h *Holder) View() *api.View {
-	if v := h.view.Load(); v != nil {
+func (s *Store) View() *api.View {
+	if v := s.view.Load(); v != nil {
 		return v
 	}
 	return &api.View{}
@@ -47,25 +47,25 @@
 // Install implements api.Fleet. It ignores a view that is not newer than the installed
 // one, so a reader never sees an older view after a newer one, and a view without a
 // configuration. The listeners are called before it returns.
-func (h *Holder) Install(v *api.View) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if v == nil || (v.Config == nil && v.Document == nil) || v.Revision <= h.View().Revision {
+func (s *Store) Install(v *api.View) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if v == nil || (v.Config == nil && v.Document == nil) || v.Revision <= s.View().Revision {
 		return
 	}
-	h.view.Store(v)
-	if h.events != nil {
-		h.events.Record(kernel.Event{Kind: "view", Step: "install", Revision: v.Revision})
+	s.view.Store(v)
+	if s.events != nil {
+		s.events.Record(kernel.Event{Kind: "view", Step: "install", Revision: v.Revision})
 	}
-	for _, f := range h.listeners {
+	for _, f := range s.listeners {
 		f(v)
 	}
 }
 
 // OnChange implements api.Fleet. The function is called with the lock held, so it must not
 // call Install or OnChange.
-func (h *Holder) OnChange(f func(*api.View)) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.listeners = append(h.listeners, f)
+func (s *Store) OnChange(f func(*api.View)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.listeners = append(s.listeners, f)
 }
--- a/plugin/gateway/rig_test.go
+++ b/plugin/gateway/rig_test.go
@@ -102,9 +102,9 @@
 	s := &settings.Settings{Profile: settings.ProfileRoutes, Instance: "e", DataCentre: "z", Listen: "127.0.0.1:0"}
 	s.Routes = settings.Routes{Ready: "127.0.0.1:0", MemoryMB: 64, MaxFiles: 1000, Bounds: settings.Bounds{StopMs: 5000, RetryRatio: 0.2, RetrySlack: 100, RetryWindowMs: 10000}}
 	k := kernel.NewContext(s, slog.New(h).With("instance", "e"), kernel.NewClock())
-	holder := &fleet.Holder{}
-	r.is.NoErr(holder.Provision(k))
-	r.fleet = holder
+	store := &fleet.Store{}
+	r.is.NoErr(store.Provision(k))
+	r.fleet = store
 	r.is.NoErr((&platform.Dialect{}).Provision(k))
 	r.is.NoErr(kernel.Provide[api.Directory](k, emptyDirectory{}))
 	r.is.NoErr(kernel.Provide[api.Placer](k, r))
--- a/plugin/lease/cluster_test.go
+++ b/plugin/lease/cluster_test.go
@@ -35,9 +35,9 @@
 // instance is one running instance of a test cluster.
 type instance struct {
 	name   string
-	keeper *Keeper
+	runner *Runner
 	mesh   *mesh.Mesh
-	fleet  *fleet.Holder
+	fleet  *fleet.Store
 	ctx    *kernel.Context
 	duties *kernel.Duties
 	cancel context.CancelFunc
@@ -46,7 +46,7 @@
 func (in *instance) stop() {
 	in.cancel()
 	_ = in.duties.Wait()
-	_ = in.keeper.Cleanup()
+	_ = in.runner.Cleanup()
 	_ = in.mesh.Cleanup()
 }
 
@@ -91,7 +91,7 @@
 		s.Peers = append(s.Peers, settings.Peer{Instance: p, Mesh: c.grid.Address(name, p)})
 	}
 	k := kernel.NewContext(s, slog.New(slog.NewTextHandler(io.Discard, nil)), kernel.NewClock())
-	in := &instance{name: name, keeper: &Keeper{}, mesh: &mesh.Mesh{}, fleet: &fleet.Holder{}, ctx: k}
+	in := &instance{name: name, runner: &Runner{}, mesh: &mesh.Mesh{}, fleet: &fleet.Store{}, ctx: k}
 	ctx, cancel := context.WithCancel(context.Background())
 	in.cancel, in.duties = cancel, kernel.NewDuties(ctx)
 	check := func(err error) {
@@ -101,10 +101,10 @@
 	}
 	check(in.mesh.Provision(k))
 	check(in.fleet.Provision(k))
-	check(in.keeper.Provision(k))
+	check(in.runner.Provision(k))
 	check(kernel.Provide[api.Control](k, c.quorum))
 	check(in.mesh.Start(in.duties))
-	check(in.keeper.Start(in.duties))
+	check(in.runner.Start(in.duties))
 	c.grid.Listen(name, in.mesh.Addr().String())
 	c.instances[name] = in
 	return in
@@ -131,7 +131,7 @@
 	c.t.Helper()
 	return c.await("lease everywhere", func() bool {
 		for _, in := range c.instances {
-			if !in.keeper.Valid() {
+			if !in.runner.Valid() {
 				return false
 			}
 		}
@@ -142,7 +142,7 @@
 // owner returns an instance that owns the pool and its epoch, or "" if none does.
 func (c *cluster) owner(pool string) (string, uint64) {
 	for name, in := range c.instances {
-		if e, ok := in.keeper.Owns(pool); ok {
+		if e, ok := in.runner.Owns(pool); ok {
 			return name, e
 		}
 	}
@@ -157,7 +157,7 @@
 
 func (c *cluster) setPools(pools ...string) {
 	for _, in := range c.instances {
-		in.keeper.SeekOwnership(pools)
+		in.runner.SeekOwnership(pools)
 	}
 }
 
@@ -176,7 +176,7 @@
 		name, epoch := c.awaitOwner(pool)
 		for _, in := range c.instances {
 			c.await("owner known", func() bool {
-				n, e, ok := in.keeper.Owner(pool)
+				n, e, ok := in.runner.Owner(pool)
 				return ok && n == name && e == epoch
 			})
 		}
@@ -198,7 +198,7 @@
 	t.Logf("takeover after %s", took)
 	name, next := c.owner("p")
 	is.True(next > epoch) // epochs grow
-	expiry := c.await("proof that the old owner has no lease", func() bool { return !c.instances[name].keeper.MayHoldLease(old) })
+	expiry := c.await("proof that the old owner has no lease", func() bool { return !c.instances[name].runner.MayHoldLease(old) })
 	t.Logf("old owner known to be without lease %s later", expiry)
 }
 
@@ -217,5 +217,5 @@
 		return true
 	})
 	t.Logf("view everywhere after %s", took)
-	c.await("reported revision", func() bool { return c.instances["i2"].keeper.PeerRevision("i3") == 7 })
+	c.await("reported revision", func() bool { return c.instances["i2"].runner.PeerRevision("i3") == 7 })
 }
--- a/plugin/lease/fault_test.go
+++ b/plugin/lease/fault_test.go
@@ -65,8 +65,8 @@
 	old, epoch := c.awaitOwner("p")
 	in := c.instances[old]
 	c.grid.Isolate(old)
-	c.await("end of the lease", func() bool { return !in.keeper.Valid() })
-	_, held := in.keeper.Owns("p")
+	c.await("end of the lease", func() bool { return !in.runner.Valid() })
+	_, held := in.runner.Owns("p")
 	is.True(!held)
 	name, next := c.awaitOwner("p")
 	is.True(name != old && next > epoch)
@@ -95,9 +95,9 @@
 	c.await("link down", func() bool { return len(i1.mesh.PeersWithoutLink()) == 1 && len(i2.mesh.PeersWithoutLink()) == 1 })
 	c.await("relay", func() bool { return i1.mesh.Reachable("i2") && i2.mesh.Reachable("i1") })
 	i1.fleet.Install(view(5))
-	c.await("revision through the relay", func() bool { return i1.keeper.PeerRevision("i2") == 5 })
+	c.await("revision through the relay", func() bool { return i1.runner.PeerRevision("i2") == 5 })
 	for _, in := range c.instances {
-		is.True(in.keeper.Valid())
+		is.True(in.runner.Valid())
 	}
 	c.grid.Link("i1", "i2").Heal()
 	c.await("direct link", func() bool { return len(i1.mesh.PeersWithoutLink()) == 0 })
@@ -114,15 +114,15 @@
 	old, epoch := c.awaitOwner("p")
 	in := c.instances[old]
 	changes := make(chan struct{}, 100)
-	in.keeper.OnChange(func() { kernel.Signal(changes) })
+	in.runner.OnChange(func() { kernel.Signal(changes) })
 	begin := time.Now()
-	is.NoErr(in.keeper.Resign(context.Background()))
+	is.NoErr(in.runner.Resign(context.Background()))
 	name, next := c.owner("p")
 	t.Logf("handed over after %s", time.Since(begin))
 	is.True(name != "" && name != old && next > epoch) // Resign returns after the successor has taken over
 	is.True(len(changes) > 0)                          // listeners were called
-	c.await("successor known", func() bool { n, e, ok := in.keeper.Owner("p"); return ok && n == name && e == next })
-	in.keeper.SeekOwnership([]string{"p", "q"})
+	c.await("successor known", func() bool { n, e, ok := in.runner.Owner("p"); return ok && n == name && e == next })
+	in.runner.SeekOwnership([]string{"p", "q"})
 	c.stop(name)
 	next2, _ := c.awaitOwner("p")
 	is.True(next2 != old && next2 != name)
@@ -139,10 +139,10 @@
 	c.stop("i1")
 	in := c.start("i1")
 	c.await("link", func() bool { return in.mesh.Reachable("i3") })
-	is.True(!in.keeper.isWitness())
+	is.True(!in.runner.isWitness())
 	time.Sleep(lease.RestartAbstention + lease.HeartbeatInterval)
-	is.True(!in.keeper.isWitness()) // its view is behind the confirmed revision
+	is.True(!in.runner.isWitness()) // its view is behind the confirmed revision
 	in.fleet.Install(view(9))
-	c.await("witness", in.keeper.isWitness)
+	c.await("witness", in.runner.isWitness)
 	c.awaitLeases() // i1 and i3 are a majority again
 }
--- a/plugin/lease/heartbeat.go
+++ b/plugin/lease/heartbeat.go
@@ -24,20 +24,20 @@
 // update applies an input to the node under the lock. Then it updates the end of the
 // lease, records state changes, calls the listeners, and triggers an urgent heartbeat
 // or a fetch of the view if the node needs one.
-func (k *Keeper) update(input func(n *lease.Node, now time.Duration)) {
-	k.mu.Lock()
-	now := k.clock.Now()
-	input(k.node, now)
-	urgent := k.node.Tick(now)
-	behind := len(k.node.PeersAhead()) > 0
-	k.leaseEnd.Store(int64(k.node.LeaseEnd()))
-	listeners := k.recordChanges(now)
-	k.mu.Unlock()
+func (r *Runner) update(input func(n *lease.Node, now time.Duration)) {
+	r.mu.Lock()
+	now := r.clock.Now()
+	input(r.node, now)
+	urgent := r.node.Tick(now)
+	behind := len(r.node.PeersAhead()) > 0
+	r.leaseEnd.Store(int64(r.node.LeaseEnd()))
+	listeners := r.recordChanges(now)
+	r.mu.Unlock()
 	if urgent {
-		kernel.Signal(k.sendNow)
+		kernel.Signal(r.sendNow)
 	}
 	if behind {
-		kernel.Signal(k.fetchNow)
+		kernel.Signal(r.fetchNow)
 	}
 	for _, notify := range listeners {
 		notify()
@@ -47,60 +47,60 @@
 // recordChanges records changes of the witness state, the lease and the owners. It
 // returns the listeners to call, or nil if lease and owners are unchanged. The lock
 // must be held.
-func (k *Keeper) recordChanges(now time.Duration) []func() {
+func (r *Runner) recordChanges(now time.Duration) []func() {
 	changed := false
-	if w := k.node.IsWitness(now); w != k.reportedWitness {
-		k.reportedWitness = w
-		k.events.Record(kernel.Event{Kind: "witness", Step: "join", Revision: k.fleet.View().Revision})
+	if w := r.node.IsWitness(now); w != r.reportedWitness {
+		r.reportedWitness = w
+		r.events.Record(kernel.Event{Kind: "witness", Step: "join", Revision: r.fleet.View().Revision})
 	}
-	if v := k.node.LeaseValid(now); v != k.reportedValid {
-		k.reportedValid, changed = v, true
-		k.recordValidity(v)
+	if v := r.node.LeaseValid(now); v != r.reportedValid {
+		r.reportedValid, changed = v, true
+		r.recordValidity(v)
 	}
-	for _, pool := range k.watchedPools {
+	for _, pool := range r.watchedPools {
 		var current ownership
-		current.instance, current.epoch, current.known = k.node.Owner(now, pool)
-		if current != k.reportedOwners[pool] {
-			k.recordOwner(pool, k.reportedOwners[pool], current)
-			k.reportedOwners[pool], changed = current, true
+		current.instance, current.epoch, current.known = r.node.Owner(now, pool)
+		if current != r.reportedOwners[pool] {
+			r.recordOwner(pool, r.reportedOwners[pool], current)
+			r.reportedOwners[pool], changed = current, true
 		}
 	}
 	if !changed {
 		return nil
 	}
-	return append([]func(){}, k.listeners...)
+	return append([]func(){}, r.listeners...)
 }
 
 // recordValidity records that the instance lease was gained or lost.
-func (k *Keeper) recordValidity(valid bool) {
+func (r *Runner) recordValidity(valid bool) {
 	step := "lost"
 	if valid {
 		step = "gained"
-		k.leasesGained.Inc()
+		r.leasesGained.Inc()
 	} else {
-		k.leasesLost.Inc()
+		r.leasesLost.Inc()
 	}
-	k.events.Record(kernel.Event{Kind: "lease", Step: step, Revision: k.fleet.View().Revision})
-	k.log.Info("lease "+step, "step", "lease")
+	r.events.Record(kernel.Event{Kind: "lease", Step: step, Revision: r.fleet.View().Revision})
+	r.log.Info("lease "+step, "step", "lease")
 }
 
 // recordOwner records a change of a pool's owner: "gained" by this instance, "known"
 // for a new owner elsewhere, or "lost".
-func (k *Keeper) recordOwner(pool string, old, current ownership) {
+func (r *Runner) recordOwner(pool string, old, current ownership) {
 	ev := kernel.Event{Kind: "owner", Step: "known", Pool: pool, Peer: current.instance, Epoch: current.epoch}
 	switch {
 	case !current.known:
 		ev.Step, ev.Peer, ev.Epoch = "lost", old.instance, old.epoch
-	case current.instance == k.mesh.Self():
+	case current.instance == r.mesh.Self():
 		ev.Step = "gained"
 	}
-	k.events.Record(ev)
-	k.log.Info("owner "+ev.Step, "step", "owner", "pool", pool, "peer", ev.Peer, "epoch", ev.Epoch)
+	r.events.Record(ev)
+	r.log.Info("owner "+ev.Step, "step", "owner", "pool", pool, "peer", ev.Peer, "epoch", ev.Epoch)
 }
 
 // heartbeatLoop sends the periodic and the urgent heartbeats and runs the node's
 // timers.
-func (k *Keeper) heartbeatLoop(ctx context.Context) error {
+func (r *Runner) heartbeatLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	next := time.Duration(0)
@@ -109,13 +109,13 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-k.sendNow:
+		case <-r.sendNow:
 			due = true
 		case <-ticker.C:
-			k.update(func(*lease.Node, time.Duration) {})
+			r.update(func(*lease.Node, time.Duration) {})
 		}
-		if now := k.clock.Now(); due || now >= next {
-			k.sendHeartbeat(ctx)
+		if now := r.clock.Now(); due || now >= next {
+			r.sendHeartbeat(ctx)
 			next = nextHeartbeat(next, now)
 		}
 	}
@@ -130,44 +130,44 @@
 }
 
 // sendHeartbeat sends a heartbeat to all peers without waiting for the replies.
-func (k *Keeper) sendHeartbeat(ctx context.Context) {
+func (r *Runner) sendHeartbeat(ctx context.Context) {
 	var h lease.Heartbeat
-	stamp := k.events.Now()
-	k.update(func(n *lease.Node, now time.Duration) { h = n.NextHeartbeat(now) })
+	stamp := r.events.Now()
+	r.update(func(n *lease.Node, now time.Duration) { h = n.NextHeartbeat(now) })
 	h.StampMs, h.StampCount = stamp.UnixMs, stamp.Count
-	h.Unreached = k.links.PeersWithoutLink()
-	k.heartbeats.Inc()
-	for _, peer := range k.mesh.Peers() {
-		k.heartbeatCalls.Go(func() { k.callHeartbeat(ctx, peer, h) })
+	h.Unreached = r.links.PeersWithoutLink()
+	r.heartbeats.Inc()
+	for _, peer := range r.mesh.Peers() {
+		r.heartbeatCalls.Go(func() { r.callHeartbeat(ctx, peer, h) })
 	}
 }
 
 // callHeartbeat sends a heartbeat to one peer and passes the reply to the node.
-func (k *Keeper) callHeartbeat(ctx context.Context, peer string, h lease.Heartbeat) {
+func (r *Runner) callHeartbeat(ctx context.Context, peer string, h lease.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	var reply lease.Reply
-	if err := k.mesh.Call(ctx, peer, heartbeatMethod, h, &reply); err != nil {
-		k.heartbeatsUnanswered.Inc()
+	if err := r.mesh.Call(ctx, peer, heartbeatMethod, h, &reply); err != nil {
+		r.heartbeatsUnanswered.Inc()
 		return
 	}
 	reply.Seq = h.Seq
-	k.update(func(n *lease.Node, now time.Duration) { n.HandleReply(now, peer, reply) })
+	r.update(func(n *lease.Node, now time.Duration) { n.HandleReply(now, peer, reply) })
 }
 
 // handleHeartbeat processes a peer's heartbeat and returns this witness's reply.
-func (k *Keeper) handleHeartbeat(_ context.Context, from string, params json.RawMessage) (any, error) {
+func (r *Runner) handleHeartbeat(_ context.Context, from string, params json.RawMessage) (any, error) {
 	var h lease.Heartbeat
 	if err := json.Unmarshal(params, &h); err != nil {
 		return nil, err
 	}
-	k.events.Observe(kernel.Stamp{UnixMs: h.StampMs, Count: h.StampCount})
-	k.links.RecordPeersWithoutLink(from, h.Unreached)
+	r.events.Observe(kernel.Stamp{UnixMs: h.StampMs, Count: h.StampCount})
+	r.links.RecordPeersWithoutLink(from, h.Unreached)
 	var reply lease.Reply
-	k.update(func(n *lease.Node, now time.Duration) {
+	r.update(func(n *lease.Node, now time.Duration) {
 		reply = n.HandleHeartbeat(now, from, h)
-		for _, r := range h.Requests {
-			k.watchPools(r.Pool)
+		for _, req := range h.Requests {
+			r.watchPools(req.Pool)
 		}
 	})
 	return reply, nil
--- a/plugin/lease/setup.go
+++ b/plugin/lease/setup.go
@@ -24,12 +24,12 @@
 	kernel.Register(kernel.Registration{
 		Name:  "lease",
 		Order: kernel.OrderLease,
-		New:   func() kernel.Plugin { return &Keeper{} },
+		New:   func() kernel.Plugin { return &Runner{} },
 	})
 }
 
-// Keeper implements api.Lease. Call Provision on the zero value before use.
-type Keeper struct {
+// Runner implements api.Lease. Call Provision on the zero value before use.
+type Runner struct {
 	mesh      api.Mesh
 	links     api.Links
 	fleet     api.Fleet
@@ -65,40 +65,40 @@
 }
 
 // Provision implements kernel.Plugin. It requires a mesh with its links, and a fleet.
-func (k *Keeper) Provision(c *kernel.Context) (err error) {
-	if k.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
+func (r *Runner) Provision(c *kernel.Context) (err error) {
+	if r.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
 	}
-	if k.links, err = kernel.Lookup[api.Links](c); err != nil {
+	if r.links, err = kernel.Lookup[api.Links](c); err != nil {
 		return err
 	}
-	if k.fleet, err = kernel.Lookup[api.Fleet](c); err != nil {
+	if r.fleet, err = kernel.Lookup[api.Fleet](c); err != nil {
 		return err
 	}
-	k.context, k.clock, k.events, k.log = c, c.Clock, c.Events, c.Log.With("plugin", "lease")
-	k.sendNow, k.fetchNow = make(chan struct{}, 1), make(chan struct{}, 1)
-	k.reportedOwners, k.startedAt = map[string]ownership{}, c.Clock.Now()
-	k.node = lease.New(lease.Config{
-		Self:      k.mesh.Self(),
-		Instances: append(k.mesh.Peers(), k.mesh.Self()),
+	r.context, r.clock, r.events, r.log = c, c.Clock, c.Events, c.Log.With("plugin", "lease")
+	r.sendNow, r.fetchNow = make(chan struct{}, 1), make(chan struct{}, 1)
+	r.reportedOwners, r.startedAt = map[string]ownership{}, c.Clock.Now()
+	r.node = lease.New(lease.Config{
+		Self:      r.mesh.Self(),
+		Instances: append(r.mesh.Peers(), r.mesh.Self()),
 		Boot:      1 + uint64(rand.Uint32()), // not 0; 32 bits, because every heartbeat carries it
-		Start:     k.startedAt,
+		Start:     r.startedAt,
 	})
-	k.setMetrics(c.Metrics)
-	k.mesh.Handle(heartbeatMethod, k.handleHeartbeat)
-	k.mesh.Handle(fetchMethod, k.handleFetch)
-	k.fleet.OnChange(k.viewChanged)
-	return kernel.Provide[api.Lease](c, k)
+	r.setMetrics(c.Metrics)
+	r.mesh.Handle(heartbeatMethod, r.handleHeartbeat)
+	r.mesh.Handle(fetchMethod, r.handleFetch)
+	r.fleet.OnChange(r.viewChanged)
+	return kernel.Provide[api.Lease](c, r)
 }
 
-func (k *Keeper) setMetrics(set *metrics.Set) {
-	k.heartbeats = set.NewCounter("nutmeg_lease_beats_total")
-	k.heartbeatsUnanswered = set.NewCounter("nutmeg_lease_beats_unanswered_total")
-	k.viewFetches = set.NewCounter("nutmeg_lease_view_fetches_total")
-	k.leasesGained = set.NewCounter("nutmeg_lease_gained_total")
-	k.leasesLost = set.NewCounter("nutmeg_lease_lost_total")
+func (r *Runner) setMetrics(set *metrics.Set) {
+	r.heartbeats = set.NewCounter("nutmeg_lease_beats_total")
+	r.heartbeatsUnanswered = set.NewCounter("nutmeg_lease_beats_unanswered_total")
+	r.viewFetches = set.NewCounter("nutmeg_lease_view_fetches_total")
+	r.leasesGained = set.NewCounter("nutmeg_lease_gained_total")
+	r.leasesLost = set.NewCounter("nutmeg_lease_lost_total")
 	set.NewGauge("nutmeg_lease_valid", func() float64 {
-		if k.Valid() {
+		if r.Valid() {
 			return 1
 		}
 		return 0
@@ -107,90 +107,90 @@
 
 // Start implements kernel.Starter. It starts the duties for heartbeats, for fetching
 // views and for confirming the revision with the control quorum.
-func (k *Keeper) Start(d *kernel.Duties) error {
-	if control, err := kernel.Lookup[api.Control](k.context); err == nil {
-		k.control = control
+func (r *Runner) Start(d *kernel.Duties) error {
+	if control, err := kernel.Lookup[api.Control](r.context); err == nil {
+		r.control = control
 	}
-	k.update(func(n *lease.Node, now time.Duration) { n.SetRevision(now, k.fleet.View().Revision) })
-	d.Go("lease.beat", k.heartbeatLoop)
-	d.Go("lease.fetch", k.fetchLoop)
-	d.Go("lease.confirm", k.confirmLoop)
+	r.update(func(n *lease.Node, now time.Duration) { n.SetRevision(now, r.fleet.View().Revision) })
+	d.Go("lease.beat", r.heartbeatLoop)
+	d.Go("lease.fetch", r.fetchLoop)
+	d.Go("lease.confirm", r.confirmLoop)
 	return nil
 }
 
 // Drain implements kernel.Drainer. It hands over the owned pools, as Resign does.
-func (k *Keeper) Drain(ctx context.Context) error { return k.Resign(ctx) }
+func (r *Runner) Drain(ctx context.Context) error { return r.Resign(ctx) }
 
 // Cleanup implements kernel.Cleaner. It waits for heartbeat calls, which end with the
 // context of the duties.
-func (k *Keeper) Cleanup() error {
-	k.heartbeatCalls.Wait()
+func (r *Runner) Cleanup() error {
+	r.heartbeatCalls.Wait()
 	return nil
 }
 
 // Valid implements api.Lease. It reports whether the instance lease is valid. It
 // uses no lock, because it is called before the first byte of every request.
-func (k *Keeper) Valid() bool { return k.clock.Now() < time.Duration(k.leaseEnd.Load()) }
+func (r *Runner) Valid() bool { return r.clock.Now() < time.Duration(r.leaseEnd.Load()) }
 
 // Owner implements api.Lease. It returns the last known owner of a pool and its
 // epoch; false if none is known.
-func (k *Keeper) Owner(pool string) (string, uint64, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.node.Owner(k.clock.Now(), pool)
+func (r *Runner) Owner(pool string) (string, uint64, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.node.Owner(r.clock.Now(), pool)
 }
 
 // Owns implements api.Lease. It reports whether this instance owns the pool now, and
 // with which epoch.
-func (k *Keeper) Owns(pool string) (uint64, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.node.Holds(k.clock.Now(), pool)
+func (r *Runner) Owns(pool string) (uint64, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.node.Holds(r.clock.Now(), pool)
 }
 
 // MayHoldLease implements api.Lease. It is false only if enough witnesses report that
 // they did not answer the peer to rule out a valid lease.
-func (k *Keeper) MayHoldLease(peer string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.node.MayHoldLease(k.clock.Now(), peer)
+func (r *Runner) MayHoldLease(peer string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.node.MayHoldLease(r.clock.Now(), peer)
 }
 
 // PeerRevision implements api.Lease. It returns the view revision in the peer's
 // newest reply, or 0 if that reply is to a heartbeat older than 1.5 s.
-func (k *Keeper) PeerRevision(peer string) uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.node.PeerRevision(k.clock.Now(), peer)
+func (r *Runner) PeerRevision(peer string) uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.node.PeerRevision(r.clock.Now(), peer)
 }
 
 // SeekOwnership implements api.Lease. It sets the pools whose ownership this instance
 // seeks and releases all others.
-func (k *Keeper) SeekOwnership(pools []string) {
-	k.update(func(n *lease.Node, now time.Duration) {
+func (r *Runner) SeekOwnership(pools []string) {
+	r.update(func(n *lease.Node, now time.Duration) {
 		n.SetPools(now, pools)
-		k.watchPools(pools...)
+		r.watchPools(pools...)
 	})
 }
 
 // OnChange implements api.Lease. The function is called without the lock after a
 // change of the lease or of a pool's owner.
-func (k *Keeper) OnChange(f func()) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.listeners = append(k.listeners, f)
+func (r *Runner) OnChange(f func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.listeners = append(r.listeners, f)
 }
 
 // Resign implements api.Lease. It gives up all pools and returns once every successor
 // has taken over or the handover has timed out (500 ms), or with the context's error.
-func (k *Keeper) Resign(ctx context.Context) error {
-	k.update(func(n *lease.Node, now time.Duration) { n.Resign(now) })
+func (r *Runner) Resign(ctx context.Context) error {
+	r.update(func(n *lease.Node, now time.Duration) { n.Resign(now) })
 	ticker := time.NewTicker(handoverPollInterval)
 	defer ticker.Stop()
 	for {
-		k.mu.Lock()
-		waiting := k.node.HandingOver()
-		k.mu.Unlock()
+		r.mu.Lock()
+		waiting := r.node.HandingOver()
+		r.mu.Unlock()
 		if !waiting {
 			return nil
 		}
@@ -204,10 +204,10 @@
 
 // watchPools adds pools to those whose owner changes are reported. The lock must be
 // held.
-func (k *Keeper) watchPools(pools ...string) {
+func (r *Runner) watchPools(pools ...string) {
 	for _, p := range pools {
-		if !slices.Contains(k.watchedPools, p) {
-			k.watchedPools = append(k.watchedPools, p)
+		if !slices.Contains(r.watchedPools, p) {
+			r.watchedPools = append(r.watchedPools, p)
 		}
 	}
 }
--- a/plugin/lease/view.go
+++ b/plugin/lease/view.go
@@ -20,18 +20,18 @@
 	confirmInterval = 100 * time.Millisecond // between two such reads
 )
 
-// fetchRequest requests a view newer than the revision Known.
+// fetchRequest requests a view newer than KnownRevision.
 type fetchRequest struct {
-	Known uint64 `json:"known"`
+	KnownRevision uint64 `json:"known"`
 }
 
 // handleFetch returns the local view, or null if it is not newer than the known one.
-func (k *Keeper) handleFetch(_ context.Context, _ string, params json.RawMessage) (any, error) {
+func (r *Runner) handleFetch(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var req fetchRequest
 	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.WithMessage(err, "view.fetch")
 	}
-	if v := k.fleet.View(); v.Revision > req.Known {
+	if v := r.fleet.View(); v.Revision > req.KnownRevision {
 		return v, nil
 	}
 	return nil, nil
@@ -39,20 +39,20 @@
 
 // viewChanged passes the new revision to the node and sends a heartbeat at once, so
 // that peers fetch the view without waiting for the next periodic heartbeat.
-func (k *Keeper) viewChanged(v *api.View) {
-	k.update(func(n *lease.Node, now time.Duration) { n.SetRevision(now, v.Revision) })
-	kernel.Signal(k.sendNow)
+func (r *Runner) viewChanged(v *api.View) {
+	r.update(func(n *lease.Node, now time.Duration) { n.SetRevision(now, v.Revision) })
+	kernel.Signal(r.sendNow)
 }
 
 // fetchLoop fetches the view whenever a peer reports a newer one.
-func (k *Keeper) fetchLoop(ctx context.Context) error {
+func (r *Runner) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-k.fetchNow:
+		case <-r.fetchNow:
 		}
-		if k.fetchNewest(ctx) {
+		if r.fetchNewest(ctx) {
 			continue
 		}
 		select {
@@ -64,13 +64,13 @@
 
 // fetchNewest tries the peers with a newer view, the newest first, until one sends a
 // newer view. It returns false if there are such peers and all of them failed.
-func (k *Keeper) fetchNewest(ctx context.Context) bool {
-	k.mu.Lock()
-	peers := k.node.PeersAhead()
-	k.mu.Unlock()
+func (r *Runner) fetchNewest(ctx context.Context) bool {
+	r.mu.Lock()
+	peers := r.node.PeersAhead()
+	r.mu.Unlock()
 	for _, peer := range peers {
-		if err := k.fetchFrom(ctx, peer); err != nil {
-			k.log.Debug("view fetch failed", "step", fetchMethod, "peer", peer, "error", err)
+		if err := r.fetchFrom(ctx, peer); err != nil {
+			r.log.Debug("view fetch failed", "step", fetchMethod, "peer", peer, "error", err)
 			continue
 		}
 		return true
@@ -80,59 +80,59 @@
 
 // fetchFrom fetches the view of one peer and installs it. It returns an error if that
 // view is missing, incomplete or not newer than the local one.
-func (k *Keeper) fetchFrom(ctx context.Context, peer string) error {
+func (r *Runner) fetchFrom(ctx context.Context, peer string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var v *api.View
-	known := k.fleet.View().Revision
-	if err := k.mesh.Call(ctx, peer, fetchMethod, fetchRequest{Known: known}, &v); err != nil {
+	known := r.fleet.View().Revision
+	if err := r.mesh.Call(ctx, peer, fetchMethod, fetchRequest{KnownRevision: known}, &v); err != nil {
 		return err
 	}
 	if v == nil || v.Revision <= known || v.Config == nil {
 		return errors.Errorf("peer %s sent no newer view", peer)
 	}
-	k.viewFetches.Inc()
-	k.fleet.Install(v)
+	r.viewFetches.Inc()
+	r.fleet.Install(v)
 	return nil
 }
 
 // confirmLoop reads the newest revision from the control quorum until the node is a
 // witness. The replies of a majority of witnesses can make it one as well.
-func (k *Keeper) confirmLoop(ctx context.Context) error {
+func (r *Runner) confirmLoop(ctx context.Context) error {
 	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
-	for k.control != nil {
+	for r.control != nil {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if k.isWitness() {
+		if r.isWitness() {
 			return nil
 		}
-		if k.clock.Now() >= k.startedAt+lease.RestartAbstention { // reads that start earlier do not count
-			k.confirm(ctx)
+		if r.clock.Now() >= r.startedAt+lease.RestartAbstention { // reads that start earlier do not count
+			r.confirm(ctx)
 		}
 	}
 	return nil
 }
 
 // isWitness reports whether this instance counts as a witness.
-func (k *Keeper) isWitness() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.node.IsWitness(k.clock.Now())
+func (r *Runner) isWitness() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.node.IsWitness(r.clock.Now())
 }
 
 // confirm reads the newest revision from the control quorum and passes it to the node.
-func (k *Keeper) confirm(ctx context.Context) {
+func (r *Runner) confirm(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	readStart := k.clock.Now()
-	revision, err := k.control.ReadRevision(ctx)
+	readStart := r.clock.Now()
+	revision, err := r.control.ReadRevision(ctx)
 	if err != nil {
-		k.log.Debug("read of the newest revision failed", "step", "confirm", "error", err)
+		r.log.Debug("read of the newest revision failed", "step", "confirm", "error", err)
 		return
 	}
-	k.update(func(n *lease.Node, now time.Duration) { n.ConfirmRevision(now, readStart, revision) })
+	r.update(func(n *lease.Node, now time.Duration) { n.ConfirmRevision(now, readStart, revision) })
 }
--- a/plugin/members/messages.go
+++ b/plugin/members/messages.go
@@ -26,9 +26,9 @@
 // heartbeatRequest asks a control instance for the leader, the newest view revision
 // and the membership.
 type heartbeatRequest struct {
-	// Known is the checksum of the list of control instances that the receiver last
-	// sent to this sender; 0 = none.
-	Known uint32 `json:"k,omitempty"`
+	// ControlsChecksum is the checksum of the list of control instances that the receiver
+	// last sent to this sender; 0 = none.
+	ControlsChecksum uint32 `json:"k,omitempty"`
 }
 
 // heartbeatResponse is the state of the control cluster as the responder sees it. An
@@ -55,9 +55,9 @@
 	Revision uint64 `json:"r"`
 }
 
-// fetchRequest asks for a view newer than revision Known; 0 = the requester has none.
+// fetchRequest asks for a view newer than KnownRevision; 0 = the requester has none.
 type fetchRequest struct {
-	Known uint64 `json:"known"`
+	KnownRevision uint64 `json:"known"`
 	// Confirm asks for a view that is at least as new as the newest one confirmed by a
 	// majority of the control instances.
 	Confirm bool `json:"confirm,omitempty"`
@@ -93,7 +93,7 @@
 	knownControls := checksum(m.reports[peer].controls)
 	m.mu.Unlock()
 	var r heartbeatResponse
-	if err := m.mesh.Call(ctx, peer, heartbeatMethod, heartbeatRequest{Known: knownControls}, &r); err != nil {
+	if err := m.mesh.Call(ctx, peer, heartbeatMethod, heartbeatRequest{ControlsChecksum: knownControls}, &r); err != nil {
 		m.unansweredHeartbeats.Inc()
 		return
 	}
@@ -128,7 +128,7 @@
 	s := m.control.Status()
 	r.Leader, r.Term, r.Entries = s.Leader, s.Term, m.EntryCount()
 	controls := slices.Sorted(slices.Values(s.Members))
-	if checksum(controls) != req.Known {
+	if checksum(controls) != req.ControlsChecksum {
 		r.Controls = controls
 	}
 	return r, nil
@@ -196,7 +196,7 @@
 			return nil, errors.WithMessage(err, viewFetchMethod)
 		}
 	}
-	if v := m.fleet.View(); v.Revision > req.Known {
+	if v := m.fleet.View(); v.Revision > req.KnownRevision {
 		return v, nil
 	}
 	return nil, nil
@@ -269,7 +269,7 @@
 	defer cancel()
 	var v *api.View
 	knownRevision := m.fleet.View().Revision
-	req := fetchRequest{Known: knownRevision, Confirm: knownRevision == 0 && m.kernel.Clock.Now() < confirmedStartPeriod}
+	req := fetchRequest{KnownRevision: knownRevision, Confirm: knownRevision == 0 && m.kernel.Clock.Now() < confirmedStartPeriod}
 	if err := m.mesh.Call(ctx, peer, viewFetchMethod, req, &v); err != nil {
 		return err
 	}
--- a/plugin/members/setup.go
+++ b/plugin/members/setup.go
@@ -30,13 +30,13 @@
 
 // Members is the plug-in; it implements api.Topology. It must be provisioned before use.
 type Members struct {
-	kernel  *kernel.Context
-	mesh    api.Mesh
-	roster  api.LinkManager
-	fleet   api.Fleet
-	control api.Control // nil on entry instances
-	log     *slog.Logger
-	events  *kernel.Events
+	kernel      *kernel.Context
+	mesh        api.Mesh
+	linkManager api.LinkManager
+	fleet       api.Fleet
+	control     api.Control // nil on entry instances
+	log         *slog.Logger
+	events      *kernel.Events
 
 	mu        sync.Mutex
 	seeds     []string
@@ -75,12 +75,12 @@
 )
 
 // Provision implements kernel.Plugin. It registers the message handlers and provides
-// api.Topology. It fails if the mesh, the roster or the fleet is missing.
+// api.Topology. It fails if the mesh, the link manager or the fleet is missing.
 func (m *Members) Provision(c *kernel.Context) (err error) {
 	if m.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
 	}
-	if m.roster, err = kernel.Lookup[api.LinkManager](c); err != nil {
+	if m.linkManager, err = kernel.Lookup[api.LinkManager](c); err != nil {
 		return err
 	}
 	if m.fleet, err = kernel.Lookup[api.Fleet](c); err != nil {
@@ -97,7 +97,7 @@
 	m.mesh.Handle(leaderMethod, m.handleLeader)
 	m.mesh.Handle(viewChangedMethod, m.handleViewChanged)
 	m.mesh.Handle(viewFetchMethod, m.handleViewFetch)
-	m.roster.OnLinkChange(m.linkChanged)
+	m.linkManager.OnLinkChange(m.linkChanged)
 	return kernel.Provide[api.Topology](c, m)
 }
 
@@ -217,7 +217,7 @@
 func (m *Members) dialControls() {
 	self := m.mesh.Self()
 	addresses := slices.DeleteFunc(m.ControlInstances(), func(a string) bool { return a == self })
-	m.roster.SetAddresses(addresses)
+	m.linkManager.SetAddresses(addresses)
 }
 
 // linkChanged triggers heartbeats at once after a link to a control instance came up, to
--- a/plugin/mesh/codec.go
+++ b/plugin/mesh/codec.go
@@ -9,13 +9,14 @@
 	"github.com/pkg/errors"
 )
 
-// MaxFrame is the largest size of a frame's body, the JSON text of one message,
-// in bytes.
-const MaxFrame = 16 << 20
+// MaxFrameBytes is the largest size of a frame's body, the JSON text of one
+// message, in bytes.
+const MaxFrameBytes = 16 << 20
 
 // Errors of the frame codec. When reading, both close the connection.
 var (
-	// ErrOversized is returned for a frame body above MaxFrame, read or written.
+	// ErrOversized is returned for a frame body above MaxFrameBytes, read or
+	// written.
 	ErrOversized = errors.New("frame larger than 16 MiB")
 	// ErrMalformed is returned for an invalid length, an empty body, or a body
 	// that is not a JSON-RPC message.
@@ -38,7 +39,7 @@
 	if err != nil {
 		return nil, header, err
 	}
-	if n > MaxFrame {
+	if n > MaxFrameBytes {
 		return nil, header, ErrOversized
 	}
 	if n == 0 {
@@ -59,8 +60,8 @@
 }
 
 // readLength reads the length of a frame and returns it with the number of bytes
-// read. Five varint bytes hold 35 bits, far more than MaxFrame needs; a longer
-// varint is malformed.
+// read. Five varint bytes hold 35 bits, far more than MaxFrameBytes needs; a
+// longer varint is malformed.
 func readLength(r *bufio.Reader) (n uint64, size int, err error) {
 	const maxBytes = 5
 	for size < maxBytes {
--- a/plugin/mesh/fault_test.go
+++ b/plugin/mesh/fault_test.go
@@ -216,7 +216,7 @@
 		hello        bool
 		bytes        []byte
 	}{
-		{"oversized", "nutmeg_mesh_frames_oversized", true, binary.AppendUvarint(nil, MaxFrame+1)},
+		{"oversized", "nutmeg_mesh_frames_oversized", true, binary.AppendUvarint(nil, MaxFrameBytes+1)},
 		{"overlong length", "nutmeg_mesh_frames_malformed", true, bytes.Repeat([]byte{0xff}, 12)},
 		{"empty", "nutmeg_mesh_frames_malformed", true, []byte{0}},
 		{"no JSON", "nutmeg_mesh_frames_malformed", true, appendFrame(nil, []byte("{"))},
@@ -253,19 +253,19 @@
 	}
 }
 
-// Guards against a frame above MaxFrame that is sent, and against one of exactly
-// MaxFrame that is not read.
+// Guards against a frame above MaxFrameBytes that is sent, and against one of exactly
+// MaxFrameBytes that is not read.
 func TestLargeFrames(t *testing.T) {
 	is := is.New(t)
 	w := newTestNetwork(t, "a", "b")
 	a := w.nodes["a"]
 	is.NoErr(a.Call(withTimeout(t), "b", "echo", strings.Repeat("x", 1<<20), nil))
-	is.Equal(a.links["b"].openSession().stream.WriteObject(strings.Repeat("x", MaxFrame-1)), ErrOversized) // one byte above the limit with the quotes
+	is.Equal(a.links["b"].openSession().stream.WriteObject(strings.Repeat("x", MaxFrameBytes-1)), ErrOversized) // one byte above the limit with the quotes
 	is.Equal(w.metricTotal("a", "nutmeg_mesh_frames_oversized"), 1)
-	whole := appendFrame(nil, make([]byte, MaxFrame))
+	whole := appendFrame(nil, make([]byte, MaxFrameBytes))
 	body, size, err := readFrame(bufio.NewReader(bytes.NewReader(whole)))
 	is.NoErr(err)
-	is.Equal(len(body), MaxFrame)
+	is.Equal(len(body), MaxFrameBytes)
 	is.Equal(size, len(whole))
 	is.NoErr(a.Call(withTimeout(t), "b", "echo", 1, nil)) // the link is still usable
 }
@@ -294,7 +294,7 @@
 		if err != nil {
 			return
 		}
-		if len(body) == 0 || len(body) > MaxFrame || size > len(raw) {
+		if len(body) == 0 || len(body) > MaxFrameBytes || size > len(raw) {
 			t.Fatalf("frame of %d bytes from %d", len(body), size)
 		}
 		again, _, err := readFrame(bufio.NewReader(bytes.NewReader(appendFrame(nil, body))))
--- a/plugin/mesh/link.go
+++ b/plugin/mesh/link.go
@@ -31,14 +31,15 @@
 const handshakeMethod = "hello"
 
 // handshake is the content of the first call on a connection and of its reply:
-// each end sends its name, incarnation (Boot) and role. To is the expected name
-// of the other end; it is "" in a reply, and with a roster may be "" in the call.
+// each end sends its name, incarnation and role. To is the expected name
+// of the other end; it is "" in a reply, and with a link manager may be "" in the
+// call.
 type handshake struct {
-	Instance   string `json:"instance"`
-	Boot       string `json:"boot"`
-	To         string `json:"to,omitempty"`
-	DataCentre string `json:"dc,omitempty"`
-	Control    bool   `json:"control,omitempty"`
+	Instance    string `json:"instance"`
+	Incarnation string `json:"boot"`
+	To          string `json:"to,omitempty"`
+	DataCentre  string `json:"dc,omitempty"`
+	Control     bool   `json:"control,omitempty"`
 }
 
 // link is the outgoing link to one peer.
@@ -132,7 +133,7 @@
 		s.close()
 		return nil, errors.WithMessage(err, "handshake with "+l.peer)
 	}
-	s.peer, s.incarnation, s.handshake = reply.Instance, reply.Boot, reply
+	s.peer, s.incarnation, s.handshake = reply.Instance, reply.Incarnation, reply
 	if handler != nil {
 		handler.peer = reply.Instance
 		s.stream.counters.Store(l.mesh.peerState(reply.Instance).counters)
@@ -141,11 +142,11 @@
 	return s, nil
 }
 
-// startSession starts JSON-RPC on a dialled connection. With a roster both ends
-// send their requests over it, because the other end may not know this
+// startSession starts JSON-RPC on a dialled connection. With a link manager both
+// ends send their requests over it, because the other end may not know this
 // instance's address.
 func (l *link) startSession(ctx context.Context, conn net.Conn) (*session, *requestHandler) {
-	if l.mesh.roster == nil {
+	if l.mesh.linkManager == nil {
 		return l.mesh.newSession(ctx, conn, l.counters, requestRefuser{}), nil
 	}
 	handler := &requestHandler{mesh: l.mesh, ctx: ctx, sessionSet: make(chan struct{})}
--- a/plugin/mesh/mesh_test.go
+++ b/plugin/mesh/mesh_test.go
@@ -181,6 +181,6 @@
 			t.Fatalf("%s received nothing", name)
 		}
 	}
-	is.True(w.nodes["a"].NotifyAll([]string{"b"}, "note", strings.Repeat("x", MaxFrame)) != nil)
+	is.True(w.nodes["a"].NotifyAll([]string{"b"}, "note", strings.Repeat("x", MaxFrameBytes)) != nil)
 	is.True(w.nodes["a"].NotifyAll([]string{"b"}, "note", make(chan int)) != nil)
 }
--- a/plugin/mesh/relay.go
+++ b/plugin/mesh/relay.go
@@ -22,8 +22,8 @@
 	From   string          `json:"from"`
 	Method string          `json:"m"`
 	Params json.RawMessage `json:"p,omitempty"`
-	// LimitMs is how long the origin waits for the reply to a call, in ms.
-	LimitMs int64 `json:"t,omitempty"`
+	// TimeoutMs is how long the origin waits for the reply to a call, in ms.
+	TimeoutMs int64 `json:"t,omitempty"`
 }
 
 // linkReport lists the instances that a peer does not reach directly.
@@ -89,7 +89,7 @@
 func (m *Mesh) callViaRelay(ctx context.Context, to, method string, params json.RawMessage, result any) error {
 	err := errNoPath
 	for _, s := range m.relaySessions(to) {
-		e := envelope{To: to, From: m.self, Method: method, Params: params, LimitMs: remainingMs(ctx)}
+		e := envelope{To: to, From: m.self, Method: method, Params: params, TimeoutMs: remainingMs(ctx)}
 		m.peerState(to).counters.relayed.Inc()
 		err = s.conn.Call(ctx, relayMethod, e, result)
 		var rpcErr *jsonrpc2.Error
@@ -151,7 +151,7 @@
 		return
 	}
 	handler := func(ctx context.Context, _ string, _ json.RawMessage) (any, error) {
-		limit := min(time.Duration(e.LimitMs)*time.Millisecond, maxRelayedCallTime)
+		limit := min(time.Duration(e.TimeoutMs)*time.Millisecond, maxRelayedCallTime)
 		ctx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
 		var raw json.RawMessage
--- a/plugin/mesh/roster.go
+++ b/plugin/mesh/roster.go
@@ -9,10 +9,11 @@
 	"nutmegrouter/internal/settings"
 )
 
-// roster holds the links of a fleet with dynamic membership. Only control instances
-// are dialled; their mesh address is their name. Both ends send requests over the
-// same connection, because only the dialling end knows the other's address.
-type roster struct {
+// linkManager holds the links of a fleet with dynamic membership. Only control
+// instances are dialled; their mesh address is their name. Both ends send requests
+// over the same connection, because only the dialling end knows the other's
+// address.
+type linkManager struct {
 	dataCentre string
 	control    bool // this instance holds a control replica
 
@@ -27,22 +28,22 @@
 	stop context.CancelFunc
 }
 
-func newRoster(s *settings.Settings) *roster {
-	return &roster{dataCentre: s.DataCentre, control: s.DataDir != "", links: map[string]*dialledLink{}}
+func newLinkManager(s *settings.Settings) *linkManager {
+	return &linkManager{dataCentre: s.DataCentre, control: s.DataDir != "", links: map[string]*dialledLink{}}
 }
 
 // handshake returns the handshake of this instance for the instance named to.
 func (m *Mesh) handshake(to string) handshake {
-	h := handshake{Instance: m.self, Boot: m.incarnation, To: to}
-	if m.roster != nil {
-		h.DataCentre, h.Control = m.roster.dataCentre, m.roster.control
+	h := handshake{Instance: m.self, Incarnation: m.incarnation, To: to}
+	if m.linkManager != nil {
+		h.DataCentre, h.Control = m.linkManager.dataCentre, m.linkManager.control
 	}
 	return h
 }
 
 // SetAddresses implements api.LinkManager.
 func (m *Mesh) SetAddresses(addresses []string) {
-	r := m.roster
+	r := m.linkManager
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for address, d := range r.links {
@@ -71,28 +72,29 @@
 
 // OnLinkChange implements api.LinkManager.
 func (m *Mesh) OnLinkChange(f func(api.LinkChange)) {
-	m.roster.mu.Lock()
-	defer m.roster.mu.Unlock()
-	m.roster.listeners = append(m.roster.listeners, f)
+	m.linkManager.mu.Lock()
+	defer m.linkManager.mu.Unlock()
+	m.linkManager.listeners = append(m.linkManager.listeners, f)
 }
 
-// notifyLinkChange calls the registered listeners. Without a roster there are none.
+// notifyLinkChange calls the registered listeners. Without a link manager there are
+// none.
 func (m *Mesh) notifyLinkChange(h handshake, up bool) {
-	if m.roster == nil {
+	if m.linkManager == nil {
 		return
 	}
-	m.roster.mu.Lock()
-	listeners := slices.Clone(m.roster.listeners)
-	m.roster.mu.Unlock()
+	m.linkManager.mu.Lock()
+	listeners := slices.Clone(m.linkManager.listeners)
+	m.linkManager.mu.Unlock()
 	for _, f := range listeners {
-		f(api.LinkChange{Peer: h.Instance, Incarnation: h.Boot, DataCentre: h.DataCentre, HasControlReplica: h.Control, Up: up})
+		f(api.LinkChange{Peer: h.Instance, Incarnation: h.Incarnation, DataCentre: h.DataCentre, HasControlReplica: h.Control, Up: up})
 	}
 }
 
-// rosterSession returns an open session with the named instance, or nil. If this
+// dynamicSession returns an open session with the named instance, or nil. If this
 // instance dials it, only the dialled link is used: silence is detected there,
 // but not on an incoming connection, which may be dead without notice.
-func (m *Mesh) rosterSession(name string) *session {
+func (m *Mesh) dynamicSession(name string) *session {
 	if l := m.dialledLinkTo(name); l != nil {
 		return l.openSession()
 	}
@@ -104,12 +106,12 @@
 // dialledLinkTo returns the link that this instance dials to the named instance,
 // or nil.
 func (m *Mesh) dialledLinkTo(name string) *link {
-	if m.roster == nil {
+	if m.linkManager == nil {
 		return m.links[name]
 	}
-	m.roster.mu.Lock()
-	defer m.roster.mu.Unlock()
-	if d := m.roster.links[name]; d != nil {
+	m.linkManager.mu.Lock()
+	defer m.linkManager.mu.Unlock()
+	if d := m.linkManager.links[name]; d != nil {
 		return d.link
 	}
 	return nil
@@ -119,13 +121,13 @@
 // direction, sorted.
 func (m *Mesh) linkedInstances() []string {
 	var out []string
-	m.roster.mu.Lock()
-	for _, d := range m.roster.links {
+	m.linkManager.mu.Lock()
+	for _, d := range m.linkManager.links {
 		if s := d.openSession(); s != nil && s.peer != m.self {
 			out = append(out, s.peer)
 		}
 	}
-	m.roster.mu.Unlock()
+	m.linkManager.mu.Unlock()
 	m.mu.RLock()
 	for name := range m.incoming {
 		out = append(out, name)
--- a/plugin/mesh/send.go
+++ b/plugin/mesh/send.go
@@ -10,12 +10,12 @@
 
 var (
 	errNoPath      = errors.New("no path")      // the direct link is down and no peer can relay
-	errUnknownPeer = errors.New("unknown peer") // not in the settings, or not linked with a roster
+	errUnknownPeer = errors.New("unknown peer") // not in the settings, or not linked with a link manager
 )
 
 // Notify implements api.Mesh. It returns once the message is queued. The error
 // wraps ErrQueueFull if the queue is full and ErrOversized for a message above
-// MaxFrame; an unknown or unreachable peer gives another error.
+// MaxFrameBytes; an unknown or unreachable peer gives another error.
 func (m *Mesh) Notify(to, method string, params any) error {
 	return errors.WithMessagef(m.notify(to, method, params), "mesh: notify %s to %s", method, to)
 }
@@ -47,8 +47,8 @@
 
 // NotifyAll implements api.Mesh. The frame is encoded once for all peers: encoding
 // the list of targets for each of 300 instances takes 140 ms of CPU time. It returns
-// an error only if the message cannot be encoded or exceeds MaxFrame; a failure to
-// queue it for one peer is logged at debug level.
+// an error only if the message cannot be encoded or exceeds MaxFrameBytes; a failure
+// to queue it for one peer is logged at debug level.
 func (m *Mesh) NotifyAll(to []string, method string, params any) error {
 	raw, err := json.Marshal(params)
 	if err != nil {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return errors.WithMessage(err, "mesh: notify "+method)
 	}
-	if len(body) > MaxFrame {
+	if len(body) > MaxFrameBytes {
 		return errors.WithMessage(ErrOversized, "mesh: notify "+method)
 	}
 	f := queuedFrame{bytes: appendFrame(nil, pack(body)), method: method}
@@ -135,8 +135,8 @@
 // session returns the open session for requests to a peer, or nil, and whether the
 // peer is known.
 func (m *Mesh) session(to string) (s *session, known bool) {
-	if m.roster != nil {
-		s = m.rosterSession(to)
+	if m.linkManager != nil {
+		s = m.dynamicSession(to)
 		return s, s != nil
 	}
 	if l := m.links[to]; l != nil {
--- a/plugin/mesh/serve.go
+++ b/plugin/mesh/serve.go
@@ -108,7 +108,7 @@
 		go func() { _ = rh.session.conn.Close() }()
 		return
 	}
-	rh.peer, rh.session.peer, rh.session.incarnation = h.Instance, h.Instance, h.Boot
+	rh.peer, rh.session.peer, rh.session.incarnation = h.Instance, h.Instance, h.Incarnation
 	rh.session.stream.counters.Store(rh.mesh.peerState(h.Instance).counters)
 	rh.mesh.setIncoming(h.Instance, rh.session)
 	close(rh.handshakeDone)
@@ -122,7 +122,7 @@
 }
 
 // checkHandshake decodes a handshake and checks that it is addressed to this
-// instance and, without a roster, that the sender is a peer in the settings.
+// instance and, without a link manager, that the sender is a peer in the settings.
 func (m *Mesh) checkHandshake(req *jsonrpc2.Request) (handshake, error) {
 	var h handshake
 	if req.Method != handshakeMethod || req.Params == nil {
@@ -131,10 +131,10 @@
 	if err := json.Unmarshal(*req.Params, &h); err != nil {
 		return h, err
 	}
-	if h.To != m.self && (m.roster == nil || h.To != "") {
+	if h.To != m.self && (m.linkManager == nil || h.To != "") {
 		return h, errors.Errorf("handshake is addressed to %q", h.To)
 	}
-	if m.roster == nil && m.links[h.Instance] == nil {
+	if m.linkManager == nil && m.links[h.Instance] == nil {
 		return h, errors.New("sender is not a peer in the settings")
 	}
 	return h, nil
@@ -161,7 +161,7 @@
 	}
 	m.mu.Unlock()
 	if current {
-		m.notifyLinkChange(handshake{Instance: s.peer, Boot: s.incarnation}, false)
+		m.notifyLinkChange(handshake{Instance: s.peer, Incarnation: s.incarnation}, false)
 	}
 }
 
--- a/plugin/mesh/setup.go
+++ b/plugin/mesh/setup.go
@@ -40,7 +40,7 @@
 	peers       []string         // sorted, without self
 	links       map[string]*link // to the peers in the settings
 	dialer      func(ctx context.Context, network, address string) (net.Conn, error)
-	roster      *roster // dynamic links; nil except with the profile "routes"
+	linkManager *linkManager // dynamic links; nil except with the profile "routes"
 	clock       kernel.Clock
 	metrics     *metrics.Set
 	events      *kernel.Events
@@ -80,7 +80,7 @@
 	}
 	sort.Strings(m.peers)
 	if c.Settings.Routed() {
-		m.roster = newRoster(c.Settings)
+		m.linkManager = newLinkManager(c.Settings)
 		if err := kernel.Provide[api.LinkManager](c, m); err != nil {
 			return err
 		}
@@ -158,9 +158,9 @@
 func (m *Mesh) Self() string { return m.self }
 
 // Peers implements api.Mesh. It returns the sorted names of the peers in the
-// settings, or with a roster of the instances with an open link.
+// settings, or with a link manager of the instances with an open link.
 func (m *Mesh) Peers() []string {
-	if m.roster != nil {
+	if m.linkManager != nil {
 		return m.linkedInstances()
 	}
 	return append([]string(nil), m.peers...)
--- a/plugin/mesh/stream.go
+++ b/plugin/mesh/stream.go
@@ -95,8 +95,8 @@
 }
 
 // WriteObject implements jsonrpc2.ObjectStream. It queues the message without
-// blocking, and returns ErrOversized above MaxFrame, ErrQueueFull if the queue is
-// full, or net.ErrClosed after Close.
+// blocking, and returns ErrOversized above MaxFrameBytes, ErrQueueFull if the
+// queue is full, or net.ErrClosed after Close.
 func (s *stream) WriteObject(v any) error {
 	method := s.writeMethod
 	s.writeMethod = ""
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	if len(body) > MaxFrame {
+	if len(body) > MaxFrameBytes {
 		s.counters.Load().oversized.Inc()
 		return ErrOversized
 	}
--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -97,7 +97,7 @@
 	if o.control, err = kernel.Lookup[api.Control](c); err != nil {
 		return err
 	}
-	roster, err := kernel.Lookup[api.LinkManager](c)
+	linkManager, err := kernel.Lookup[api.LinkManager](c)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	o.fleet.OnChange(func(*api.View) { o.inbox.Push(o.viewChanged) })
 	o.directory.OnChange(func() { o.inbox.Push(o.viewChanged) })
 	o.control.OnStatus(func(s api.ControlStatus) { o.inbox.Push(func() { o.statusChanged(s) }) })
-	roster.OnLinkChange(o.linkChanged)
+	linkManager.OnLinkChange(o.linkChanged)
 	return nil
 }
 
--- a/plugin/placer/setup.go
+++ b/plugin/placer/setup.go
@@ -92,11 +92,11 @@
 	p.mesh.Handle(placewire.MethodDown, p.handleOwnerMessage)
 	p.directory.OnChange(p.targetsChanged)
 	p.topology.OnLeader(p.leaderChanged)
-	roster, err := kernel.Lookup[api.LinkManager](c)
+	linkManager, err := kernel.Lookup[api.LinkManager](c)
 	if err != nil {
 		return err
 	}
-	roster.OnLinkChange(p.linkChanged)
+	linkManager.OnLinkChange(p.linkChanged)
 	return kernel.Provide[api.Placer](c, p)
 }
 
--- a/plugin/pool/fleet_test.go
+++ b/plugin/pool/fleet_test.go
@@ -137,7 +137,7 @@
 type instance struct {
 	client *pool.Client
 	sched  *scheduler.Scheduler
-	holder *fleet.Holder
+	store  *fleet.Store
 	k      *kernel.Context
 }
 
@@ -155,7 +155,7 @@
 	}
 	for _, name := range names {
 		x := out[name]
-		x.holder.Install(&api.View{Revision: 1, Config: cfg})
+		x.store.Install(&api.View{Revision: 1, Config: cfg})
 		for _, s := range []kernel.Starter{x.sched, x.client} {
 			if err := s.Start(d); err != nil {
 				t.Fatal(err)
@@ -171,7 +171,7 @@
 		s.Peers = append(s.Peers, settings.Peer{Instance: p, DataCentre: "dc"})
 	}
 	k := kernel.NewContext(s, slog.New(slog.NewTextHandler(io.Discard, nil)), kernel.NewClock())
-	x := &instance{client: &pool.Client{}, sched: &scheduler.Scheduler{}, holder: &fleet.Holder{}, k: k}
+	x := &instance{client: &pool.Client{}, sched: &scheduler.Scheduler{}, store: &fleet.Store{}, k: k}
 	check := func(err error) {
 		if err != nil {
 			t.Fatal(err)
@@ -179,7 +179,7 @@
 	}
 	check(kernel.Provide[api.Mesh](k, node{n, name}))
 	check(kernel.Provide[api.Lease](k, node{n, name}))
-	check(x.holder.Provision(k))
+	check(x.store.Provision(k))
 	check(x.sched.Provision(k))
 	check(x.client.Provision(k))
 	return x
