--- a/internal/api/dialect.go
+++ b/internal/api/dialect.go
@@ -55,8 +55,8 @@
 	// absent.
 	LastEventID string
 	Model       string
-	// PromptTokens is the length of the prompt, OutputTokens the largest number of
-	// tokens that may be generated.
+	// PromptTokens is the length of the prompt, MaxOutputTokens the largest number
+	// of tokens that may be generated.
 	PromptTokens, MaxOutputTokens int
 	// OutputTokensHint is the caller's estimate of the tokens generated; 0 =
 	// absent.
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -45,9 +45,8 @@
 	Route     *routing.Route
 	Service   string
 	Engine    *routing.Engine // nil for plain services
-	// PromptTokens, OutputTokens and Prompt describe a model request; zero
-	// otherwise. OutputTokens is the expected number of tokens generated, not the
-	// upper bound.
+	// PromptTokens, ExpectedOutputTokens and Prompt describe a model request; zero
+	// otherwise. ExpectedOutputTokens is not the upper bound.
 	PromptTokens, ExpectedOutputTokens int
 	Prompt                             []PromptPart
 	// Objective is when the response, or the first event of a stream, is due.
--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -338,18 +338,18 @@
 	now := o.clock.Now()
 	o.state.Tick(now)
 	decisions := o.state.Decisions()
-	down := map[string]*placewire.OwnerMessage{}
+	messages := map[string]*placewire.OwnerMessage{}
 	to := func(entry string) *placewire.OwnerMessage {
-		d := down[entry]
+		d := messages[entry]
 		if d == nil {
 			d = &placewire.OwnerMessage{Term: o.term}
-			down[entry] = d
+			messages[entry] = d
 		}
 		return d
 	}
 	if o.unconfirmed {
 		for _, d := range decisions {
-			down[d.Key.Entry] = &placewire.OwnerMessage{Term: o.term, NotOwner: true}
+			messages[d.Key.Entry] = &placewire.OwnerMessage{Term: o.term, NotOwner: true}
 		}
 		decisions = nil
 	}
@@ -371,7 +371,7 @@
 	if len(decisions) > 0 {
 		o.decideSeconds.Update(time.Since(begin).Seconds())
 	}
-	for entry, d := range down {
+	for entry, d := range messages {
 		o.send(entry, *d)
 	}
 }
--- a/plugin/placer/remote.go
+++ b/plugin/placer/remote.go
@@ -43,9 +43,9 @@
 }
 
 // ownerResponse ends the wait of a request. At most one of its flags is set; without one,
-// grant is the owner's decision.
+// decision is the owner's.
 type ownerResponse struct {
-	grant placewire.Decision
+	decision placewire.Decision
 	// placeLocally is set if the owner is unavailable, askAgain if its grant has expired.
 	placeLocally, askAgain bool
 }
@@ -67,10 +67,10 @@
 		case resp.askAgain:
 		case resp.placeLocally:
 			return asPlacement(p.placeEngineLocal(w, "owner does not answer"))
-		case resp.grant.Target == "":
-			return nil, p.refusal(w, resp.grant)
+		case resp.decision.Target == "":
+			return nil, p.refusal(w, resp.decision)
 		default:
-			return p.acceptGrant(w, number, resp.grant)
+			return p.acceptGrant(w, number, resp.decision)
 		}
 	}
 }
@@ -375,14 +375,14 @@
 		p.checkSuspension(now)
 	}
 	for _, g := range d.Decisions {
-		p.deliverGrant(g)
+		p.deliverDecision(g)
 	}
 	return nil, nil
 }
 
-// deliverGrant passes the owner's decision to the request that waits for it. A grant for a
-// request that no longer waits is released. The lock must be held.
-func (p *Placer) deliverGrant(g placewire.Decision) {
+// deliverDecision passes the owner's decision to the request that waits for it. A grant for
+// a request that no longer waits is released. The lock must be held.
+func (p *Placer) deliverDecision(g placewire.Decision) {
 	wt := p.waiting[g.Number]
 	if wt == nil {
 		if g.Target != "" && p.running[g.Number] == nil {
@@ -402,5 +402,5 @@
 	}
 	p.throttle.SetShare(wt.work.Workspace, g.ForwardShare(), p.clock.Now())
 	g.Term = p.owner.term
-	wt.response <- ownerResponse{grant: g}
+	wt.response <- ownerResponse{decision: g}
 }
