--- a/plugin/control/setup.go
+++ b/plugin/control/setup.go
@@ -20,10 +20,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "control",
-		Order:  kernel.OrderControl,
-		New:    func() kernel.Plugin { return &Control{} },
-		Wanted: kernel.RoutedControlOrPools,
+		Name:    "control",
+		Order:   kernel.OrderControl,
+		New:     func() kernel.Plugin { return &Control{} },
+		Enabled: kernel.OnPoolsOrRoutesControl,
 	})
 }
 
@@ -98,7 +98,7 @@
 // this one.
 func (c *Control) replicaInstances() []string {
 	if c.topology != nil {
-		return c.topology.Controls()
+		return c.topology.ControlInstances()
 	}
 	return c.diskInstances
 }
--- a/plugin/directory/setup.go
+++ b/plugin/directory/setup.go
@@ -19,10 +19,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "directory",
-		Order:  kernel.OrderDirectory,
-		New:    func() kernel.Plugin { return &Directory{} },
-		Wanted: kernel.Routed,
+		Name:    "directory",
+		Order:   kernel.OrderDirectory,
+		New:     func() kernel.Plugin { return &Directory{} },
+		Enabled: kernel.OnRoutes,
 	})
 }
 
@@ -59,7 +59,8 @@
 }
 
 // Provision implements kernel.Plugin. It registers the message handlers and provides
-// api.Directory. It fails if the mesh, the topology, the dialect or the roster is missing.
+// api.Directory. It fails if the mesh, the topology, the dialect or the link manager is
+// missing.
 func (d *Directory) Provision(c *kernel.Context) (err error) {
 	if d.mesh, err = kernel.Lookup[api.Mesh](c); err != nil {
 		return err
@@ -70,7 +71,7 @@
 	if d.dialect, err = kernel.Lookup[api.Dialect](c); err != nil {
 		return err
 	}
-	roster, err := kernel.Lookup[api.Roster](c)
+	linkManager, err := kernel.Lookup[api.LinkManager](c)
 	if err != nil {
 		return err
 	}
@@ -88,7 +89,7 @@
 	d.mesh.Handle(updateMethod, d.handleUpdate)
 	d.mesh.Handle(packedMethod, d.handlePacked)
 	d.mesh.Handle(fetchMethod, d.handleFetch)
-	roster.OnLink(d.linkChanged)
+	linkManager.OnLinkChange(d.linkChanged)
 	return kernel.Provide[api.Directory](c, d)
 }
 
@@ -107,7 +108,7 @@
 	})
 	// A new leader reads at once: after a power failure of the whole fleet no instance
 	// has a list until then.
-	duties.EveryOr("directory read", readInterval, d.becameLeader, d.readPlatformList)
+	duties.EveryOrOnSignal("directory read", readInterval, d.becameLeader, d.readPlatformList)
 	return nil
 }
 
@@ -132,8 +133,8 @@
 	return p.list[i], true
 }
 
-// Known implements api.Directory. It reports whether a list was read or received.
-func (d *Directory) Known() bool { return d.current.Load() != nil }
+// Loaded implements api.Directory. It reports whether a list was read or received.
+func (d *Directory) Loaded() bool { return d.current.Load() != nil }
 
 // OnChange implements api.Directory. The function is called without the lock held.
 func (d *Directory) OnChange(f func()) {
--- a/plugin/dispatch/attempt_test.go
+++ b/plugin/dispatch/attempt_test.go
@@ -31,7 +31,7 @@
 			refuseFrom(2)(env, nil)
 			conn, err := env.d.conns.Dial(t.Context(), target.addr)
 			is.NoErr(err)
-			conn.Arm(time.Second, time.Now().Add(time.Minute), func() error { return env.d.checkTarget("t1") })
+			conn.StartRequest(time.Second, time.Now().Add(time.Minute), func() error { return env.d.checkTarget("t1") })
 			lose(env) // after the connection was opened
 			n, err := conn.Write([]byte("POST / HTTP/1.1\r\n\r\n"))
 			is.Equal(n, 0)
@@ -69,7 +69,7 @@
 		is.Equal(openedConns(target), []int{1, 1, 2, 2}[i]) // reused, except for POST
 	}
 	idle := env.d.conns.Pop(target.addr)
-	eventually(t, "the target's close arrived", func() bool { return !targetconn.Open(idle.Conn) })
+	eventually(t, "the target's close arrived", func() bool { return !targetconn.IsOpen(idle.Conn) })
 	env.d.conns.Put(idle)
 	env.wantBody(serviceRequest("GET"), "ok")
 	env.wantBody(serviceRequest("GET"), "ok")
@@ -189,7 +189,7 @@
 
 func keyedRequest() *api.Request {
 	r := serviceRequest("POST")
-	r.Key = "k1"
+	r.IdempotencyKey = "k1"
 	return r
 }
 
@@ -268,10 +268,10 @@
 	env := newTestEnv(t, target)
 	disconnected := make(chan struct{})
 	req := keyedRequest()
-	req.Gone = disconnected
+	req.Disconnected = disconnected
 	ended := make(chan error, 1)
 	go func() {
-		resp, err := env.d.Do(context.Background(), req)
+		resp, err := env.d.Dispatch(context.Background(), req)
 		if err == nil {
 			err = resp.Close()
 		}
--- a/plugin/dispatch/setup.go
+++ b/plugin/dispatch/setup.go
@@ -30,12 +30,12 @@
 
 // maxEventMemory bounds the memory for reading events, summed over all streams and
 // without the initial buffer of each: sixteen events of the largest size.
-const maxEventMemory = 16 * sse.MaxEvent // bytes
+const maxEventMemory = 16 * sse.MaxEventBytes // bytes
 
 // Dispatcher implements api.Dispatcher and the kernel's plug-in interfaces. Provision
 // must be called before use.
 type Dispatcher struct {
-	pool    api.Pool
+	pool    api.PoolQueue
 	lease   api.Lease
 	control api.Control
 	fleet   api.Fleet
@@ -60,7 +60,7 @@
 // on and provides api.Dispatcher. It fails if one of them is missing.
 func (d *Dispatcher) Provision(c *kernel.Context) error {
 	var err error
-	if d.pool, err = kernel.Lookup[api.Pool](c); err != nil {
+	if d.pool, err = kernel.Lookup[api.PoolQueue](c); err != nil {
 		return err
 	}
 	if d.lease, err = kernel.Lookup[api.Lease](c); err != nil {
@@ -123,6 +123,6 @@
 func (d *Dispatcher) recordEvent(kind, step string, c *call, target, detail string) {
 	d.events.Record(kernel.Event{
 		Kind: kind, Step: step, Pool: c.req.Pool, Workspace: c.req.Workspace,
-		Target: target, Request: c.id, Detail: detail,
+		Target: target, RequestID: c.id, Detail: detail,
 	})
 }
--- a/plugin/gateway/setup.go
+++ b/plugin/gateway/setup.go
@@ -24,10 +24,10 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "gateway",
-		Order:  kernel.OrderEntry,
-		New:    func() kernel.Plugin { return &Gateway{} },
-		Wanted: kernel.RoutedEntry,
+		Name:    "gateway",
+		Order:   kernel.OrderEntry,
+		New:     func() kernel.Plugin { return &Gateway{} },
+		Enabled: kernel.OnRoutesEntry,
 	})
 }
 
@@ -105,8 +105,8 @@
 	memory := c.Settings.Routes.MemoryMB * (1 << 20)
 	g.memory = overload.NewMemoryLimit(int64(requestMemoryShare * memory))
 	g.load = newLoadGate()
-	g.conns = callerconn.NewTracker(g.stats.sentBytes, &callerconn.Limits{Idle: g.idleLimit, Head: g.headerReadLimit, Whole: g.requestReadLimit})
-	g.conns.SetMost(int(min(callerSocketShare*float64(c.Settings.Routes.MaxSockets()), idleMemoryShare*memory/idleConnBytes)))
+	g.conns = callerconn.NewTracker(g.stats.sentBytes, &callerconn.Limits{IdleTimeout: g.idleLimit, HeaderTimeout: g.headerReadLimit, RequestTimeout: g.requestReadLimit})
+	g.conns.SetMaxOpen(int(min(callerSocketShare*float64(c.Settings.Routes.MaxSockets()), idleMemoryShare*memory/idleConnBytes)))
 	g.stats.registerGauges(c.Metrics, g.conns, g.memory, g.load)
 	g.fleet.OnChange(g.applyView)
 	g.http = &fasthttp.Server{
@@ -126,7 +126,7 @@
 	if v.Version == 0 || (old != nil && old.Version == v.Version) {
 		return
 	}
-	t, err := v.Table(g.dialect)
+	t, err := v.ParseTable(g.dialect)
 	if err != nil {
 		g.log.Error("configuration not readable", "step", "view", "version", v.Version, "error", err)
 		return
--- a/plugin/mesh/mesh_test.go
+++ b/plugin/mesh/mesh_test.go
@@ -69,7 +69,7 @@
 	}
 	w.await("links", func() bool {
 		for _, n := range w.nodes {
-			if len(n.Unreached()) > 0 {
+			if len(n.PeersWithoutLink()) > 0 {
 				return false
 			}
 		}
@@ -181,6 +181,6 @@
 			t.Fatalf("%s received nothing", name)
 		}
 	}
-	is.True(w.nodes["a"].NotifyAll([]string{"b"}, "note", strings.Repeat("x", MaxFrame)) != nil)
+	is.True(w.nodes["a"].NotifyAll([]string{"b"}, "note", strings.Repeat("x", MaxFrameBytes)) != nil)
 	is.True(w.nodes["a"].NotifyAll([]string{"b"}, "note", make(chan int)) != nil)
 }
--- a/plugin/mesh/setup.go
+++ b/plugin/mesh/setup.go
@@ -2,7 +2,7 @@
 // fleet over TCP. Each instance keeps one outgoing link to each peer, detects
 // silent links by heartbeats, and relays messages through a third instance when
 // a peer cannot be reached directly. The package provides api.Mesh, api.Links and,
-// with the profile "routes", api.Roster.
+// with the profile "routes", api.LinkManager.
 package mesh
 
 import (
@@ -24,15 +24,15 @@
 
 func init() {
 	kernel.Register(kernel.Registration{
-		Name:   "mesh",
-		Order:  kernel.OrderMesh,
-		New:    func() kernel.Plugin { return &Mesh{} },
-		Wanted: kernel.Everywhere,
+		Name:    "mesh",
+		Order:   kernel.OrderMesh,
+		New:     func() kernel.Plugin { return &Mesh{} },
+		Enabled: kernel.OnAllProfiles,
 	})
 }
 
-// Mesh implements api.Mesh, api.Links and, with the profile "routes", api.Roster.
-// Call Provision on the zero value before use.
+// Mesh implements api.Mesh, api.Links and, with the profile "routes",
+// api.LinkManager. Call Provision on the zero value before use.
 type Mesh struct {
 	self        string
 	incarnation string // random identity of this process, sent in the handshake
@@ -40,7 +40,7 @@
 	peers       []string         // sorted, without self
 	links       map[string]*link // to the peers in the settings
 	dialer      func(ctx context.Context, network, address string) (net.Conn, error)
-	roster      *roster // dynamic links; nil except with the profile "routes"
+	linkManager *linkManager // dynamic links; nil except with the profile "routes"
 	clock       kernel.Clock
 	metrics     *metrics.Set
 	events      *kernel.Events
@@ -80,12 +80,12 @@
 	}
 	sort.Strings(m.peers)
 	if c.Settings.Routed() {
-		m.roster = newRoster(c.Settings)
-		if err := kernel.Provide[api.Roster](c, m); err != nil {
+		m.linkManager = newLinkManager(c.Settings)
+		if err := kernel.Provide[api.LinkManager](c, m); err != nil {
 			return err
 		}
 	}
-	c.Metrics.NewGauge("nutmeg_mesh_links_up", func() float64 { return float64(len(m.Peers()) - len(m.Unreached())) })
+	c.Metrics.NewGauge("nutmeg_mesh_links_up", func() float64 { return float64(len(m.Peers()) - len(m.PeersWithoutLink())) })
 	if err := kernel.Provide[api.Links](c, m); err != nil {
 		return err
 	}
@@ -158,9 +158,9 @@
 func (m *Mesh) Self() string { return m.self }
 
 // Peers implements api.Mesh. It returns the sorted names of the peers in the
-// settings, or with a roster of the instances with an open link.
+// settings, or with a link manager of the instances with an open link.
 func (m *Mesh) Peers() []string {
-	if m.roster != nil {
+	if m.linkManager != nil {
 		return m.linkedInstances()
 	}
 	return append([]string(nil), m.peers...)
--- a/plugin/placer/suspension_test.go
+++ b/plugin/placer/suspension_test.go
@@ -27,7 +27,7 @@
 	kerneltest.Clock
 
 	mu   sync.Mutex
-	sent []placewire.Up
+	sent []placewire.EntryMessage
 }
 
 // The methods of api.Mesh, api.Topology, api.Fleet and api.Directory that a placer uses.
@@ -35,7 +35,7 @@
 func (r *harness) Notify(_, _ string, v any) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent = append(r.sent, v.(placewire.Up))
+	r.sent = append(r.sent, v.(placewire.EntryMessage))
 	return nil
 }
 
@@ -48,7 +48,7 @@
 	directory struct{ api.Directory }
 )
 
-func (topology) Entries() int                         { return 2 }
+func (topology) EntryCount() int                      { return 2 }
 func (fleet) View() *api.View                         { return &api.View{} }
 func (directory) Targets() []api.Target               { return []api.Target{testTarget} }
 func (directory) Target(id string) (api.Target, bool) { return testTarget, id == testTarget.ID }
@@ -66,7 +66,7 @@
 	set := metrics.NewSet()
 	r.p = &Placer{
 		mesh: recordingMesh{r: r}, topology: topology{}, fleet: fleet{}, directory: directory{}, clock: r, log: slog.New(slog.DiscardHandler),
-		dataCentre: "z", instant: r.Instant, local: placement.NewLocal("z"), throttle: placement.NewThrottle(),
+		dataCentre: "z", readClocks: r.ReadClocks, local: placement.NewLocal("z"), throttle: placement.NewThrottle(),
 		owner: ownerState{name: "o", term: 1}, waiting: map[uint64]*waiter{}, running: map[uint64]*assignment{},
 		sendSignal: make(chan struct{}, 1), watchSignal: make(chan struct{}, 1),
 		ownerGrants: set.NewCounter("a"), localPlacements: set.NewCounter("b"), ownerTimeouts: set.NewCounter("c"), throttled: set.NewCounter("d"),
@@ -93,15 +93,15 @@
 }
 
 // respond delivers a message from the owner.
-func (r *harness) respond(d placewire.Down) {
+func (r *harness) respond(d placewire.OwnerMessage) {
 	raw, err := json.Marshal(d)
 	r.NoErr(err)
-	_, err = r.p.handleDown(context.Background(), "o", raw)
+	_, err = r.p.handleOwnerMessage(context.Background(), "o", raw)
 	r.NoErr(err)
 }
 
 func (r *harness) grant(n uint64) {
-	r.respond(placewire.Down{Term: 1, Grants: []placewire.Grant{{Number: n, Target: "t1"}}})
+	r.respond(placewire.OwnerMessage{Term: 1, Decisions: []placewire.Decision{{Number: n, Target: "t1"}}})
 }
 
 type result struct {
@@ -112,7 +112,7 @@
 func (r *harness) place() chan result {
 	done := make(chan result, 1)
 	go func() {
-		p, err := r.p.Place(context.Background(), &api.Work{Service: "m", Engine: &routing.Engine{Slots: 4}, Route: &routing.Route{}})
+		p, err := r.p.Place(context.Background(), &api.PlacementRequest{Service: "m", Engine: &routing.Engine{Slots: 4}, Route: &routing.Route{}})
 		done <- result{p, err}
 	}()
 	return done
@@ -140,14 +140,14 @@
 			r := newHarness(t)
 			done := r.place()
 			first := r.waitForAsk(0)
-			r.Pass(monotonic+time.Millisecond, suspension)
+			r.Advance(monotonic+time.Millisecond, suspension)
 			r.grant(first)
 			second := r.waitForAsk(first) // the placer asks the owner again
 			r.Equal(r.endedRequests(), []uint64{first})
 			r.grant(second)
 			got := <-done
 			r.NoErr(got.err)
-			r.NoErr(got.placement.Sent())
+			r.NoErr(got.placement.BeforeSend())
 			r.Equal(got.placement.(*assignment).number, second)
 		})
 		t.Run(name+" before the first byte", func(t *testing.T) {
@@ -156,8 +156,8 @@
 			r.grant(r.waitForAsk(0))
 			got := <-done
 			r.NoErr(got.err)
-			r.Pass(monotonic, suspension)
-			r.True(errors.Is(got.placement.Sent(), errExpired))
+			r.Advance(monotonic, suspension)
+			r.True(errors.Is(got.placement.BeforeSend(), errExpired))
 		})
 	}
 }
@@ -169,18 +169,18 @@
 	done := r.place()
 	n := r.waitForAsk(0)
 	for range 60 {
-		r.Pass(100*time.Millisecond, 100*time.Millisecond)
-		r.respond(placewire.Down{Term: 1})
+		r.Advance(100*time.Millisecond, 100*time.Millisecond)
+		r.respond(placewire.OwnerMessage{Term: 1})
 	}
 	r.grant(n)
 	got := <-done
 	r.NoErr(got.err)
 	r.Equal(got.placement.(*assignment).number, n)
-	r.Pass(10*time.Minute, 10*time.Minute) // no request waits, so the clock is not checked
+	r.Advance(10*time.Minute, 10*time.Minute) // no request waits, so the clock is not checked
 	done = r.place()
 	n = r.waitForAsk(n)
 	r.grant(n)
 	got = <-done
 	r.NoErr(got.err)
-	r.NoErr(got.placement.Sent())
+	r.NoErr(got.placement.BeforeSend())
 }
--- a/plugin/pool/fleet_test.go
+++ b/plugin/pool/fleet_test.go
@@ -111,7 +111,7 @@
 	defer n.mu.Unlock()
 	return n.owner, n.epoch, n.owner != ""
 }
-func (n node) Holds(string) (uint64, bool) {
+func (n node) Owns(string) (uint64, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.epoch, n.owner == n.name
@@ -121,8 +121,8 @@
 	defer n.mu.Unlock()
 	return n.valid[peer]
 }
-func (n node) Revision(string) uint64       { return 1 }
-func (n node) SetPools([]string)            {}
+func (n node) PeerRevision(string) uint64   { return 1 }
+func (n node) SeekOwnership([]string)       {}
 func (n node) Resign(context.Context) error { return nil }
 func (n node) OnChange(f func()) {
 	n.mu.Lock()
@@ -137,7 +137,7 @@
 type instance struct {
 	client *pool.Client
 	sched  *scheduler.Scheduler
-	holder *fleet.Holder
+	store  *fleet.Store
 	k      *kernel.Context
 }
 
@@ -155,7 +155,7 @@
 	}
 	for _, name := range names {
 		x := out[name]
-		x.holder.Install(&api.View{Revision: 1, Config: cfg})
+		x.store.Install(&api.View{Revision: 1, Config: cfg})
 		for _, s := range []kernel.Starter{x.sched, x.client} {
 			if err := s.Start(d); err != nil {
 				t.Fatal(err)
@@ -171,7 +171,7 @@
 		s.Peers = append(s.Peers, settings.Peer{Instance: p, DataCentre: "dc"})
 	}
 	k := kernel.NewContext(s, slog.New(slog.NewTextHandler(io.Discard, nil)), kernel.NewClock())
-	x := &instance{client: &pool.Client{}, sched: &scheduler.Scheduler{}, holder: &fleet.Holder{}, k: k}
+	x := &instance{client: &pool.Client{}, sched: &scheduler.Scheduler{}, store: &fleet.Store{}, k: k}
 	check := func(err error) {
 		if err != nil {
 			t.Fatal(err)
@@ -179,7 +179,7 @@
 	}
 	check(kernel.Provide[api.Mesh](k, node{n, name}))
 	check(kernel.Provide[api.Lease](k, node{n, name}))
-	check(x.holder.Provision(k))
+	check(x.store.Provision(k))
 	check(x.sched.Provision(k))
 	check(x.client.Provision(k))
 	return x
@@ -220,13 +220,13 @@
 	n, fleet := startFleet(t, cfg, "a", "b", "c")
 	n.setOwner("b", 1)
 	for i, from := range []string{"a", "b", "c", "a"} {
-		tk, err := fleet[from].client.Enqueue(api.Demand{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"})
+		tk, err := fleet[from].client.Enqueue(api.SlotRequest{ID: fmt.Sprint(i), Pool: "p", Workspace: "w"})
 		is.NoErr(err)
 		g := await(t, tk) // needs the slot that the previous request has freed
 		is.Equal(g.Target, "t1")
 		is.Equal(g.Address, cfg.Targets[0].Address)
 		is.Equal(g.Epoch, uint64(1))
-		tk.Confirm(api.WarmthWarm, 1)
-		tk.Done(api.Outcome{Result: api.ResultOK, Cost: 5, Warmth: api.WarmthWarm, Boot: 1})
+		tk.ResponseStarted(api.WarmthWarm, 1)
+		tk.Done(api.GrantOutcome{Result: api.ResultOK, Cost: 5, Warmth: api.WarmthWarm, BootNumber: 1})
 	}
 }
