--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -20,11 +20,11 @@
 }
 
 // ProposeChange appends a membership change, which is in force at once. It fails with
-// ErrNotLeader or ErrTransferring like Propose, with ErrChangePending while an earlier change is
-// not committed, with ErrNotReady while the first entry of the leader's term is not
-// committed, and with ErrInvalidChange if the change does not fit the membership. A change
-// before that first commit could overlap with one of an earlier leader, and the quorums
-// of the two might not intersect.
+// ErrNotLeader or ErrTransferring like Propose, with ErrChangePending while an earlier
+// change is not committed, with ErrNotReady while the first entry of the leader's term
+// is not committed, and with ErrInvalidChange if the change does not fit the
+// membership. A change before that first commit could overlap with one of an earlier
+// leader, and the quorums of the two might not intersect.
 func (n *Node) ProposeChange(c Change) error {
 	switch {
 	case n.role != Leader:
@@ -73,11 +73,11 @@
 	return ok && t == n.term
 }
 
-// TransferLeadership starts a transfer of the leadership to the connected voter with the newest
-// log. Once that voter has the whole log, it is sent MsgTimeoutNow. Proposals fail with
-// ErrTransferring meanwhile. After ElectionTicks without a new leader the transfer is given
-// up. TransferLeadership returns false if the node is not the leader or if no other voter has
-// replied within ElectionTicks.
+// TransferLeadership starts a transfer of the leadership to the connected voter with the
+// newest log. Once that voter has the whole log, it is sent MsgTimeoutNow. Proposals
+// fail with ErrTransferring meanwhile. After ElectionTicks without a new leader the
+// transfer is given up. TransferLeadership returns false if the node is not the leader
+// or if no other voter has replied within ElectionTicks.
 func (n *Node) TransferLeadership() bool {
 	if n.role != Leader {
 		return false
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -122,7 +122,7 @@
 	Commit         uint64 // append, heartbeat: commit index of the leader; see sendHeartbeats
 	Reject         bool   // replies: the vote or append is rejected
 	Hint           uint64 // rejected append: newest index at which the logs may agree
-	LeaderTransfer bool   // vote: part of a leadership transfer, so a known leader is no reason to ignore it
+	LeaderTransfer bool   // vote: of a leadership transfer; not ignored although a leader is known
 	WantReply      bool   // heartbeat: a reply is requested
 	ReadSeq        uint64 // heartbeats: newest sequence number of the reads that a reply confirms
 	Entries        []Entry
@@ -168,9 +168,9 @@
 	// ElectionTicks is the shortest election timeout in ticks. Each timeout is
 	// random: at least this value, less than twice this value.
 	ElectionTicks int
-	// InitialElectionTicks replaces ElectionTicks for election timeouts until the node knows a
-	// leader for the first time since its start, so that a group whose replicas were
-	// all stopped soon elects a leader. 0 means ElectionTicks.
+	// InitialElectionTicks replaces ElectionTicks for election timeouts until the node
+	// knows a leader for the first time since its start, so that a group whose
+	// replicas were all stopped soon elects a leader. 0 means ElectionTicks.
 	InitialElectionTicks int
 	// HeartbeatTicks is the interval of the leader's heartbeats in ticks.
 	HeartbeatTicks int
--- a/internal/fairness/estimate.go
+++ b/internal/fairness/estimate.go
@@ -27,8 +27,8 @@
 // NumCostClasses is the number of cost classes, ClassUnknown included.
 const NumCostClasses = 4
 
-// CostClassIndex returns the index of a cost class, from 0 to NumCostClasses-1. Unrecognised
-// classes count as ClassUnknown, which has index 0.
+// CostClassIndex returns the index of a cost class, from 0 to NumCostClasses-1.
+// Unrecognised classes count as ClassUnknown, which has index 0.
 func CostClassIndex(c api.CostClass) int {
 	switch c {
 	case api.ClassLong:
@@ -62,8 +62,9 @@
 }
 
 // Estimate returns the expected cost, in cost units, of a request of the workspace.
-// class is an index that CostClassIndex returns. hint is the caller's estimate, 0 if there is
-// none; it is ignored once the workspace has enough completions of the class.
+// class is an index that CostClassIndex returns. hint is the caller's estimate, 0 if
+// there is none; it is ignored after 4 completions (minSamples) of the class in the
+// workspace.
 func (t *Table) Estimate(w *Workspace, class int, hint float64) float64 {
 	if m := w.meansByClass[class]; m.count >= minSamples {
 		return m.value
--- a/internal/fairness/rows.go
+++ b/internal/fairness/rows.go
@@ -7,7 +7,7 @@
 
 // Row is the entry of one workspace in a copy of the table. RelativeService is its virtual
 // service minus the pool's virtual time. MeanCosts holds its mean cost per cost class,
-// in cost units, 0 after fewer than minSamples completions.
+// in cost units, 0 after fewer than 4 completions (minSamples).
 type Row struct {
 	Workspace       string
 	RelativeService float64
@@ -19,8 +19,9 @@
 const minReportedDebt = 4
 
 // Rows appends a row per account to dst, sorted by name, and returns it. If all is
-// false, it omits accounts that are not backlogged and whose debt is at most
-// minReportedDebt mean requests. dst should be empty, because all of it is sorted.
+// false, it omits accounts that are not backlogged and whose debt is at most 4 times
+// (minReportedDebt) the pool's mean request cost. dst should be empty, because all of it
+// is sorted.
 func (t *Table) Rows(dst []Row, all bool) []Row {
 	for _, w := range t.byName {
 		if !all && w.heapIndex < 0 && (w.virtualService-t.virtualTime)*w.weight <= minReportedDebt*t.overallMean.value {
@@ -77,8 +78,8 @@
 
 // Credit adds service, in cost units, that the previous owner granted after it had
 // sent the copy that Load restored. A workspace without a row in that copy starts
-// at the pool's virtual time at least. Values that are not finite or exceed
-// maxCredit are ignored.
+// at the pool's virtual time at least. Values that are not finite or exceed 1e12
+// (maxCredit) are ignored.
 func (t *Table) Credit(workspace string, service float64) {
 	if !finite(service) || math.Abs(service) > maxCredit {
 		return
--- a/internal/fairness/table.go
+++ b/internal/fairness/table.go
@@ -15,10 +15,10 @@
 	Running int
 
 	weight         float64
-	virtualService float64 // service per weight, in cost units; includes the estimates of running requests
+	virtualService float64 // service per weight, in cost units, with estimates for running requests
 	settledCost    float64 // cost of settled requests, in cost units
 	meansByClass   [NumCostClasses]movingMean
-	creditTicks    int    // calls of RemoveIdle until the credit kept by DeactivateKeepingCredit expires
+	creditTicks    int    // calls of RemoveIdle until the kept credit expires
 	fromCopy       bool   // Load has restored the account from the previous owner's table
 	heapIndex      int    // index in Table.heap; -1 if not backlogged
 	activation     uint64 // Table.activations when the workspace became backlogged; breaks ties
@@ -41,7 +41,7 @@
 	byName       map[string]*Workspace
 	weights      map[string]float64
 	heap         []*Workspace // backlogged workspaces, smallest virtual service first
-	virtualTime  float64      // largest virtual service at which a request was charged, or restored by Load
+	virtualTime  float64      // see VirtualTime; restored by Load
 	activations  uint64
 	meansByClass [NumCostClasses]movingMean
 	overallMean  movingMean
--- a/internal/fleetstate/moves.go
+++ b/internal/fleetstate/moves.go
@@ -11,18 +11,22 @@
 
 // Results of the steps of a move.
 const (
-	MoveNone    MoveResult = ""        // nothing done: the step is not due or already decided, or the move is not in the document
+	// MoveNone means that nothing was done: the step is not due or already decided, or the
+	// move is not in the document.
+	MoveNone    MoveResult = ""
 	MoveOut     MoveResult = "out"     // the data centre is out of service
 	MoveSkipped MoveResult = "skipped" // not taken out: a pool would have no target left in service
 	MoveBack    MoveResult = "back"    // the data centre is back in service
-	MoveEnded   MoveResult = "ended"   // the move is over; the data centre is not out of service because of it and stays as it is
+	// MoveEnded means that the move is over. The data centre stays as it is: this move is
+	// not the reason if it is out of service.
+	MoveEnded MoveResult = "ended"
 )
 
 // MoveID returns the identity of a move. A move with another out time is another move.
 func MoveID(m fleetconfig.Move) string { return m.Name + "|" + m.DataCentre + "|" + m.OutAt }
 
-// DueMoveSteps returns the steps of planned moves that are due at a Unix time in milliseconds, at
-// most one per move.
+// DueMoveSteps returns the steps of planned moves that are due at a Unix time in
+// milliseconds, at most one per move.
 func (s *State) DueMoveSteps(unixMs int64) []MoveStep {
 	if s.config == nil {
 		return nil
@@ -101,7 +105,8 @@
 // moveOut takes the data centre out of service unless a pool would lose its last target.
 func (s *State) moveOut(m fleetconfig.Move, id string) MoveResult {
 	if _, out := s.outOfService[m.DataCentre]; out {
-		return MoveOut // by an operator or another move, whose change stays in force after this move
+		// An operator or another move took it out, whose change stays in force after this move.
+		return MoveOut
 	}
 	if _, ok := s.poolWithoutTargets(m.DataCentre); !ok {
 		return MoveSkipped
@@ -122,8 +127,8 @@
 }
 
 // poolWithoutTargets returns the name of a pool that would lose its last target in service
-// without the data centre, and false. It returns true if there is no such pool. A document must
-// have been accepted.
+// without the data centre, and false. It returns true if there is no such pool. It must not
+// be called before a document has been accepted.
 func (s *State) poolWithoutTargets(dc string) (pool string, ok bool) {
 	retained, affected := map[string]bool{}, map[string]bool{}
 	for _, t := range s.config.Targets {
--- a/internal/lease/claim.go
+++ b/internal/lease/claim.go
@@ -233,8 +233,8 @@
 	}
 }
 
-// tryStartRound starts a round once the pool has been without owner for CandidateStagger
-// times this candidate's rank. It reports whether it started one.
+// tryStartRound starts a round once the pool has been without owner for
+// CandidateStagger times this candidate's rank. It reports whether it started one.
 func (n *Node) tryStartRound(now time.Duration, pool string, c *claim) bool {
 	_, _, owned := n.Owner(now, pool)
 	v := n.votes[pool]
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -147,8 +147,9 @@
 			}
 			is.Equal(n.LeaseValid(11*sec), c.want)
 			n.SetRevision(11*sec, 4)
-			is.Equal(n.LeaseValid(10*sec+HolderLeaseTime-1), len(c.replies) > 1 && !c.replies[1].Abstains) // the view caught up afterwards
-			is.True(!n.LeaseValid(10*sec + HolderLeaseTime))                                               // e.g. after a freeze
+			// The view caught up afterwards.
+			is.Equal(n.LeaseValid(10*sec+HolderLeaseTime-1), len(c.replies) > 1 && !c.replies[1].Abstains)
+			is.True(!n.LeaseValid(10*sec + HolderLeaseTime)) // e.g. after a freeze
 			for i := range c.replies {
 				n.HandleReply(13*sec, n.cfg.Instances[i], Reply{Seq: 1, Revision: 4})
 			}
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -21,8 +21,8 @@
 	Epoch uint64
 	// Held reports that the sender owns the pool with this epoch.
 	Held bool
-	// HandedOverEpoch is the epoch of the owner that handed over its votes to the sender,
-	// 0 without a handover.
+	// HandedOverEpoch is the epoch of the owner that handed over its votes to the
+	// sender, 0 without a handover.
 	HandedOverEpoch uint64
 }
 
@@ -36,7 +36,8 @@
 	Successor string
 }
 
-// Heartbeat is the heartbeat that each instance sends to all others.
+// Heartbeat is the message that each instance sends to all others every
+// HeartbeatInterval, and at once when Node.Tick asks for it.
 type Heartbeat struct {
 	// Boot identifies the sender's process: a restarted instance has another value.
 	Boot uint64
@@ -63,8 +64,8 @@
 	Epoch uint64
 }
 
-// UnansweredPeer reports a peer to which the sender has sent no lease reply for some time.
-// A lease reply is a reply that does not abstain.
+// UnansweredPeer reports a peer to which the sender has sent no lease reply for at
+// least 1.2 s (unansweredReportAge). A lease reply is a reply that does not abstain.
 type UnansweredPeer struct {
 	Peer string
 	// SinceReplyMs is the time since the last lease reply in milliseconds.
--- a/internal/lease/node.go
+++ b/internal/lease/node.go
@@ -54,8 +54,8 @@
 type peer struct {
 	boot, seq       uint64        // of the newest heartbeat received
 	revision        uint64        // newest revision received in a heartbeat or reply
-	triggerRevision uint64        // newest revision in its heartbeats that triggered an immediate heartbeat
-	lastLeaseReply  time.Duration // last reply to it that counts towards its lease, or the start of this node
+	triggerRevision uint64        // newest revision that triggered an immediate heartbeat
+	lastLeaseReply  time.Duration // last reply to it that did not abstain, or Config.Start
 
 	// State in the newest reply to an own heartbeat.
 	replied            bool // a reply was received
@@ -63,7 +63,7 @@
 	replyRevision      uint64
 	replyHeartbeatSent time.Duration // when the heartbeat that it replies to was sent
 	replyReceived      time.Duration
-	unanswered         map[string]time.Duration // instances without a lease reply from this peer, and for how long
+	unanswered         map[string]time.Duration // time since its last lease reply, by instance
 }
 
 // round is one own heartbeat and the replies to it.
@@ -119,10 +119,10 @@
 	n.updateCaughtUp(now)
 }
 
-// updateCaughtUp decides whether the view has caught up since the restart: it is
-// at least as new as one confirmed by the control quorum, or as the views of a
-// majority of witnesses. Reads and heartbeats before the end of RestartAbstention do
-// not count.
+// updateCaughtUp decides whether the view has caught up since the restart: it is at
+// least as new as one confirmed by the control quorum, or as the views of a majority
+// of witnesses. Reads and heartbeats before the end of RestartAbstention do not
+// count.
 func (n *Node) updateCaughtUp(now time.Duration) {
 	if n.caughtUp || now < n.cfg.Start+RestartAbstention {
 		return
@@ -248,9 +248,10 @@
 	return out
 }
 
-// MayHoldLease reports whether a peer may hold an instance lease. It returns
-// false only if so many witnesses report that they sent the peer no lease reply
-// that it certainly held no lease at some moment within the last MaxReportAge.
+// MayHoldLease reports whether a peer may hold an instance lease. It returns false
+// only if the peer certainly held no lease at some moment within the last
+// MaxReportAge: by the reports of the witnesses, those that had replied to the peer
+// within the duration of a lease were no majority. For an unknown peer it returns true.
 func (n *Node) MayHoldLease(now time.Duration, name string) bool {
 	if name == n.cfg.Self {
 		return n.LeaseValid(now)
--- a/internal/lease/witness.go
+++ b/internal/lease/witness.go
@@ -19,10 +19,10 @@
 // expired.
 func (v *vote) free(now time.Duration) bool { return v.owner == "" || now >= v.expires }
 
-// HandleHeartbeat processes a peer's heartbeat and returns the reply to it. The reply
-// abstains if this node is no witness yet or the peer is not in
-// Config.Instances. No request of a heartbeat that arrives after a later one of
-// the same boot is granted.
+// HandleHeartbeat processes a peer's heartbeat and returns the reply to it, without
+// its Seq. The reply abstains if this node is no witness yet or the peer is not in
+// Config.Instances. No request of a heartbeat that arrives after a later one of the
+// same boot is granted.
 func (n *Node) HandleHeartbeat(now time.Duration, from string, h Heartbeat) Reply {
 	p := n.peers[from]
 	if p == nil {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -70,7 +70,7 @@
 }
 
 // Guards against a limit that grows without evidence, stays high when the target is
-// cold (section 9.5), or never grows.
+// cold (section 9.5 of the design), or never grows.
 func TestLimit(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -215,7 +215,7 @@
 	is.Equal(f.t.Used(), 2)
 	f.AwaitReports(f.now+time.Second, f.now)
 	f.Tick(f.now + time.Second)
-	is.Equal(f.begin(1), 1) // the gate ends without a report
+	is.Equal(f.begin(1), 1) // the wait ends without a report
 }
 
 // Guards against a pick that ignores the free share, the data centre or the target to
--- a/internal/limits/report.go
+++ b/internal/limits/report.go
@@ -101,8 +101,8 @@
 }
 
 // clearOrphans removes orphans in excess of limit, the number that may still run,
-// starting with those that were added first. It considers only work that was already orphaned when the report was
-// taken.
+// starting with those that were added first. It considers only work that was already
+// orphaned when the report was taken.
 func (s *Set) clearOrphans(t *Target, limit int, now time.Duration) {
 	eligible := 0
 	reportedAt := now - t.ReportLag
--- a/internal/limits/set.go
+++ b/internal/limits/set.go
@@ -29,7 +29,7 @@
 	availableByDC  map[string]*heap // targets with free capacity, by data centre
 	outDataCentres map[string]bool
 	leavingTargets map[string]bool
-	gateUntil      time.Duration
+	awaitUntil     time.Duration
 	changes        []Change
 }
 
@@ -45,8 +45,8 @@
 // must not modify the slice.
 func (s *Set) Targets() []*Target { return s.targets }
 
-// Changes returns the state changes since the last call, at most maxChanges. The next
-// change overwrites the slice.
+// Changes returns the state changes since the last call, at most 1024 (maxChanges).
+// The next change overwrites the slice.
 func (s *Set) Changes() []Change {
 	c := s.changes
 	s.changes = s.changes[:0]
@@ -70,7 +70,8 @@
 		configured[c.Name] = true
 		t := s.byName[c.Name]
 		if t == nil {
-			t = &Target{limit: c.ColdCapacity, set: s, heapIndex: [2]int{-1, -1}, awaitingReport: now < s.gateUntil, gateUntil: s.gateUntil}
+			t = &Target{limit: c.ColdCapacity, set: s, heapIndex: [2]int{-1, -1},
+				awaitingReport: now < s.awaitUntil, awaitUntil: s.awaitUntil}
 			s.byName[c.Name] = t
 			s.targets = append(s.targets, t)
 		}
@@ -98,14 +99,14 @@
 	s.refreshAll(now)
 }
 
-// AwaitReports withholds new work from each target until it has been polled or the time until
-// has passed. It applies to all targets, including those configured before that time.
-// A new owner calls it because work of an unreachable instance is visible only in the
-// load reports of the targets.
+// AwaitReports withholds new work from each target until it has been polled, at most
+// up to the time until. It applies to all targets, including those configured before
+// that time. A new owner calls it because work of an unreachable instance is visible
+// only in the load reports of the targets.
 func (s *Set) AwaitReports(until, now time.Duration) {
-	s.gateUntil = until
+	s.awaitUntil = until
 	for _, t := range s.targets {
-		t.awaitingReport, t.gateUntil = true, until
+		t.awaitingReport, t.awaitUntil = true, until
 		s.updateHeaps(t, now)
 	}
 }
@@ -302,15 +303,15 @@
 	}
 }
 
-// Tick handles the expiry of evidence, back-offs, gates and orphans. It visits every
-// target.
+// Tick handles the expiry of evidence, back-offs, orphans and the wait for first
+// reports (see AwaitReports). It visits every target.
 func (s *Set) Tick(now time.Duration) {
 	removable := false
 	for _, t := range s.targets {
 		if t.warm && now-t.lastEvidence > t.WarmthTTL {
 			t.markCold(now, "expired")
 		}
-		if t.awaitingReport && now >= t.gateUntil {
+		if t.awaitingReport && now >= t.awaitUntil {
 			t.awaitingReport = false
 		}
 		if t.orphans > 0 {
--- a/internal/limits/target.go
+++ b/internal/limits/target.go
@@ -79,8 +79,8 @@
 	lastEvidence   time.Duration // time of the newest evidence that the target is warm
 	failures       int           // consecutive failures
 	backoffUntil   time.Duration // no new work before this time
-	awaitingReport bool          // no new work before a poll or gateUntil
-	gateUntil      time.Duration
+	awaitingReport bool          // no new work before a poll or awaitUntil
+	awaitUntil     time.Duration
 	leaving        bool
 	out            bool
 	removed        bool
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -93,17 +93,17 @@
 	p.pool, p.loadInterval = pool, loadInterval
 }
 
-// HasOutdatedToken reports whether an engine refused an order because of an outdated fencing
-// token. Plan returns no orders until TokenRenewed is called.
+// HasOutdatedToken reports whether an engine refused an order because of an outdated
+// fencing token. Plan returns no orders until TokenRenewed is called.
 func (p *Planner) HasOutdatedToken() bool { return p.tokenOutdated }
 
 // TokenRenewed records that the owner has obtained a newer fencing token.
 func (p *Planner) TokenRenewed() { p.tokenOutdated = false }
 
 // Plan returns the orders to send now, at most one for each target. The caller must
-// report the outcome of each by RecordOutcome. states lists all targets of the pool; Plan
-// sorts it in place. returning names the data centres that are out of service and
-// return within ReturnLead.
+// report the outcome of each by RecordOutcome. states lists all targets of the pool;
+// Plan sorts it in place. returning names the data centres that are out of service
+// and return within ReturnLead.
 func (p *Planner) Plan(now time.Duration, states []api.TargetState, returning map[string]bool) []Order {
 	if p.tokenOutdated {
 		return nil
@@ -181,8 +181,8 @@
 	}
 }
 
-// RecordOutcome records the outcome of an order. It ignores orders of an earlier boot of the
-// target or another version of the model.
+// RecordOutcome records the outcome of an order. It ignores orders of an earlier boot
+// of the target or another version of the model.
 func (p *Planner) RecordOutcome(now time.Duration, o Order, outcome Outcome) {
 	pr, ok := p.targets[o.Target.Name]
 	if !ok || pr.boot != o.Boot || pr.version != o.Version {
--- a/internal/overload/bytes.go
+++ b/internal/overload/bytes.go
@@ -49,7 +49,7 @@
 // minBufferSize is the smallest capacity of a buffer in bytes.
 const minBufferSize = 512
 
-// NewBuffer returns an empty buffer that reserves its memory from b.
+// NewBuffer returns an empty buffer that reserves its memory from m.
 func NewBuffer(m *MemoryLimit) *Buffer { return &Buffer{memory: m} }
 
 // ReadFrom appends the data of r until EOF. It returns ErrNoMemory if the memory limit
--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -5,8 +5,8 @@
 // request is shed at once reaches another instance with its retry; a request that waits
 // for processor time reaches none.
 //
-// Gate reads no clock: the caller passes the time between ticks. Its delay beyond Period
-// is the measure of the processor load.
+// Gate reads no clock: the caller passes the time between two ticks. The part above
+// Period, the tick delay, is the measure of the processor load.
 package overload
 
 import (
@@ -41,9 +41,9 @@
 	minRateIncrease = 2.0
 	// minRate is the lowest rate limit, in requests a second.
 	minRate = 10.0
-	// unboundAfterTicks is the number of consecutive ticks without shed requests
+	// removeLimitAfterTicks is the number of consecutive ticks without shed requests
 	// after which the rate limit is removed.
-	unboundAfterTicks = 20
+	removeLimitAfterTicks = 20
 	// readyAfterTicks is the number of consecutive ticks without shed requests after
 	// which an instance is ready for new callers. The load balancer checks readiness
 	// once a second.
@@ -67,14 +67,16 @@
 type Gate struct {
 	rateLimit        float64        // requests a second; +Inf = no limit
 	meanDelay        time.Duration  // moving average of the tick delay
-	ticksWithoutShed int            // consecutive ticks without shed requests while the rate is limited
+	ticksWithoutShed int            // consecutive, while the rate is limited
 	workspaceLimit   float64        // requests accepted per workspace in this period
 	demand           map[string]int // requests received per workspace in this period
 	accepted         int            // requests accepted in this period
-	burstLimit       int            // accepted requests above which workspaceLimit is lowered to fair shares of it
-	burstReached     bool           // workspaceLimit has been lowered in this period
-	shed             int            // requests shed in this period
-	ticksSinceShed   int            // ticks since the last period with shed requests
+	// burstLimit is the number of accepted requests at which workspaceLimit is lowered to
+	// the fair shares of burstLimit.
+	burstLimit     int
+	burstReached   bool // workspaceLimit has been lowered in this period
+	shed           int  // requests shed in this period
+	ticksSinceShed int  // ticks since the last period with shed requests
 }
 
 // New returns a gate without a rate limit.
@@ -127,7 +129,7 @@
 		g.ticksWithoutShed = 0
 	case !g.RateLimited():
 	case g.shed == 0:
-		if g.ticksWithoutShed++; g.ticksWithoutShed >= unboundAfterTicks {
+		if g.ticksWithoutShed++; g.ticksWithoutShed >= removeLimitAfterTicks {
 			g.rateLimit = math.Inf(1)
 		}
 	default:
--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -130,7 +130,7 @@
 	is.Equal(p.served["w"], 1000)
 }
 
-// Guards against memory that stays reserved after Take has returned false.
+// Guards against memory that stays reserved after Reserve has returned false.
 func TestBytes(t *testing.T) {
 	is := is.New(t)
 	m := NewMemoryLimit(3)
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -43,8 +43,8 @@
 	// coldStartFactor is the part of the cold start rate that is used for a target known to be
 	// cold.
 	coldStartFactor = 0.8
-	// responseMargin is the part of the objective that is reserved for the way of the response
-	// to the caller.
+	// responseMargin is the part of the objective that is reserved for the transmission of the
+	// response to the caller.
 	responseMargin = 15 * time.Millisecond
 )
 
@@ -132,7 +132,8 @@
 func (o *Owner) minScore(t *target, w *work, uncached int, now time.Duration) time.Duration {
 	prefill := t.prefillTime(float64(uncached))
 	firstEventAfter := t.backlog(now) + prefill + baseLatency
-	score := firstEventAfter + time.Duration(prefillWeight*float64(prefill)) + time.Duration(len(t.running))*runningRequestCost
+	score := firstEventAfter + time.Duration(prefillWeight*float64(prefill)) +
+		time.Duration(len(t.running))*runningRequestCost
 	if w.missesObjective(firstEventAfter, now) {
 		score += missedObjectivePenalty
 	}
@@ -155,7 +156,8 @@
 	c.wait = max(c.wait, t.startWait(o.startLimit(t, now), pendingBefore.requests, now))
 	prefill := t.prefillTime(float64(c.uncached))
 	c.firstEventAfter = max(backlog, c.wait) + prefill + baseLatency
-	c.score = c.firstEventAfter + time.Duration(prefillWeight*float64(prefill)) + time.Duration(len(t.running))*runningRequestCost +
+	c.score = c.firstEventAfter + time.Duration(prefillWeight*float64(prefill)) +
+		time.Duration(len(t.running))*runningRequestCost +
 		time.Duration(t.health.failureRatio*float64(failureTimeCost))
 	if t.info.DataCentre != w.request.DataCentre {
 		c.score += remoteDataCentreCost
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -88,14 +88,15 @@
 // callerGivesUpAt returns when the caller is expected to abandon the request without a first
 // event.
 func (w *work) callerGivesUpAt() time.Duration {
-	firstSubmittedAt := w.objectiveAt - w.request.RouteObjective // for a retry, when the first attempt arrived
+	// For a retry, this is when the first attempt arrived.
+	firstSubmittedAt := w.objectiveAt - w.request.RouteObjective
 	return min(w.deadline, firstSubmittedAt+max(minGiveUpTime, giveUpFactor*w.request.RouteObjective))
 }
 
 func (o *Owner) refuse(w *work, c candidate, code string, wait, now time.Duration) {
 	delete(o.requests, w.key)
 	if !w.request.Resumes {
-		o.retries.remember(uniquePart(w.request.Prompt), w.objectiveAt, now)
+		o.retries.recordRefusal(uniquePart(w.request.Prompt), w.objectiveAt, now)
 	}
 	if code == CodeShareYields {
 		wait = o.shares.window / windowSlots
@@ -117,7 +118,8 @@
 
 func (o *Owner) newDecision(w *work, c candidate) Decision {
 	return Decision{
-		Key: w.key, Excess: w.excess, ForwardShare: o.shares.forwardShare(w.request.Workspace), QueueDelay: c.wait, UncachedTokens: c.uncached, MinUncachedTokens: c.minUncached, MinUncachedWait: c.minUncachedWait,
+		Key: w.key, Excess: w.excess, ForwardShare: o.shares.forwardShare(w.request.Workspace), QueueDelay: c.wait,
+		UncachedTokens: c.uncached, MinUncachedTokens: c.minUncached, MinUncachedWait: c.minUncachedWait,
 	}
 }
 
--- a/internal/placement/health.go
+++ b/internal/placement/health.go
@@ -10,7 +10,7 @@
 // outlier detection).
 type health struct {
 	failureRatio        float64       // moving average, 0 to 1
-	consecutiveFailures int           // without a response from the target
+	consecutiveFailures int           // without a valid response, since the last served request
 	suspectUntil        time.Duration // until then, only a last resort
 }
 
--- a/internal/placement/local.go
+++ b/internal/placement/local.go
@@ -10,7 +10,7 @@
 
 const (
 	// initialSuspectTime is how long a target is suspect, and used only as a last resort, after
-	// a failure without a response. It doubles with each consecutive failure up to
+	// a failure without a valid response. It doubles with each consecutive failure up to
 	// maxSuspectTime.
 	initialSuspectTime = 300 * time.Millisecond
 	maxSuspectTime     = 3 * time.Second
@@ -41,9 +41,9 @@
 // targetLoad is what this instance has observed of a target through its own requests.
 type targetLoad struct {
 	health
-	running     int
-	meanLatency time.Duration // of served requests
-	bornMs      int64         // incarnation of the target
+	running       int
+	meanLatency   time.Duration // of served requests
+	startedUnixMs int64         // api.Target.StartedUnixMs, which identifies the incarnation
 }
 
 // NewLocal returns a Local for an instance in a data centre, which prefers targets there.
@@ -67,9 +67,9 @@
 	Random float64
 }
 
-// Choose returns the target with the lowest cost, or false if none is usable. Targets that
-// leave the list, are cold, have MaxRunning requests or are in a data centre out of service
-// are not used. Targets that are suspect or already tried are used only if there is no other.
+// Choose returns the target with the lowest cost, or false if none is usable. Targets that are
+// leaving or cold, have MaxRunning requests or are in a data centre out of service are not used.
+// Targets that are suspect after a failure or already tried are used only if there is no other.
 func (l *Local) Choose(q Query) (api.Target, bool) {
 	best, minCost := -1, math.Inf(1)
 	preferred := q.affinityIndex()
@@ -135,8 +135,8 @@
 // loadOf returns the record of a target, and a new one for a new incarnation of the target.
 func (l *Local) loadOf(t *api.Target) *targetLoad {
 	load := l.loads[t.ID]
-	if load == nil || load.bornMs != t.StartedUnixMs {
-		load = &targetLoad{bornMs: t.StartedUnixMs}
+	if load == nil || load.startedUnixMs != t.StartedUnixMs {
+		load = &targetLoad{startedUnixMs: t.StartedUnixMs}
 		l.loads[t.ID] = load
 	}
 	return load
@@ -145,8 +145,8 @@
 // Start counts a running request on a target. Each call needs one call of End.
 func (l *Local) Start(t api.Target) { l.loadOf(&t).running++ }
 
-// End removes a running request from a target and records its outcome and latency. It does
-// nothing if the target has no record.
+// End removes a running request from a target and records its outcome and, if it was served,
+// its latency took. It does nothing if the target has no record.
 func (l *Local) End(t api.Target, o api.AttemptOutcome, took, now time.Duration) {
 	load := l.loads[t.ID]
 	if load == nil {
--- a/internal/placement/owner.go
+++ b/internal/placement/owner.go
@@ -39,19 +39,21 @@
 	Key Key
 	// Target is the ID of the granted target; "" = refused.
 	Target string
-	// Code is the reason of a refusal, RetryAfter when the caller may retry.
+	// Code is the reason of a refusal, RetryAfter the time after which the caller may retry.
 	Code       string
 	RetryAfter time.Duration
 	// QueueDelay is the queue delay of a granted request, or the predicted one of a refused
-	// request. Excess is the ratio of the workspace's tokens to its share, 0 within the share.
+	// request. Excess is the ratio of the tokens granted to the workspace, this request
+	// included, to its share; 0 within the share.
 	QueueDelay time.Duration
 	Excess     float64
-	// ForwardShare is the share of the workspace's requests that the entry instance forwards to the
-	// owner from now on; 1 = all.
+	// ForwardShare is the share of the workspace's requests that the entry instance forwards to
+	// the owner from now on; 1 = all.
 	ForwardShare float64
-	// UncachedTokens is the number of uncached prompt tokens on the target,
-	// MinUncachedTokens the lowest such number on any target that was examined, and MinUncachedWait the predicted wait for that
-	// target. For a request that starts from the queue, MinUncachedTokens equals UncachedTokens.
+	// UncachedTokens is the number of uncached prompt tokens on the target, MinUncachedTokens
+	// the lowest such number on any target that was examined, and MinUncachedWait the predicted
+	// wait for that target. For a request that starts from the queue, MinUncachedTokens equals
+	// UncachedTokens.
 	UncachedTokens, MinUncachedTokens int
 	MinUncachedWait                   time.Duration
 }
@@ -61,7 +63,7 @@
 	CodeNoTarget      = "no_target"      // no target of the service accepts requests
 	CodeTooLate       = "too_late"       // the first event would come after the caller gives up
 	CodeShareExceeded = "share_exceeded" // misses its objective, and the workspace exceeds its share
-	CodeShareYields   = "share_yields"   // yields to other workspaces with unmet demand
+	CodeShareYields   = "share_yields"   // granted too much more than a workspace with unmet demand
 )
 
 // View is the configuration and fleet state that the owner decides by.
@@ -78,8 +80,9 @@
 type Config struct {
 	// ShareWindow is the sliding window of the workspace shares, at least a second.
 	ShareWindow time.Duration
-	// The starts per second on a cold target are limited to its rate times ColdOverage plus
-	// ColdSlack.
+	// ColdOverage and ColdSlack limit the starts per second on a target that is not known to be
+	// cold, because it may turn cold at any time: at most routing.Service.ColdPerSecond times
+	// ColdOverage plus ColdSlack, less a safety margin.
 	ColdOverage, ColdSlack float64
 }
 
@@ -105,7 +108,9 @@
 
 // NewOwner returns an owner without targets; SetView adds them.
 func NewOwner(c Config) *Owner {
-	return &Owner{cfg: c, targets: map[string]*target{}, cacheIndex: cacheIndex{}, requests: map[Key]*work{}, shares: newShares(c.ShareWindow), retries: newRetryTracker(), meanRunTimes: map[string]time.Duration{}}
+	return &Owner{
+		cfg: c, targets: map[string]*target{}, cacheIndex: cacheIndex{}, requests: map[Key]*work{},
+		shares: newShares(c.ShareWindow), retries: newRetryTracker(), meanRunTimes: map[string]time.Duration{}}
 }
 
 // SetView replaces the fleet view. Running requests on removed targets are tracked until they
@@ -171,26 +176,28 @@
 	w.effectiveObjectiveAt = max(w.objectiveAt, now+time.Duration(longPromptFactor*float64(o.typicalPrefillTime(req)+baseLatency)))
 	if firstObjectiveAt, isRetry := o.retries.firstObjective(uniquePart(req.Prompt)); isRetry && !req.Resumes {
 		w.objectiveAt = min(w.objectiveAt, firstObjectiveAt)
-		w.effectiveObjectiveAt, w.missCounted = w.objectiveAt, true // late because of its first attempt, not for lack of capacity
+		// It is late because of its first attempt, not for lack of capacity.
+		w.effectiveObjectiveAt, w.missCounted = w.objectiveAt, true
 	} else if !req.Resumes {
 		o.shares.recordRequested(req.Workspace, w.cost)
 	}
 	o.decide(w, now)
 }
 
-// CountThrottled counts a request that a throttling entry instance refused on the owner's behalf:
-// its tokens, its unique prompt part, and the time left until its first event is due.
+// CountThrottled counts a request that a throttling entry instance refused on the owner's
+// behalf: its tokens as in View.TokensPerSecond, its unique prompt part, and the time left until
+// its first event is due (objective).
 func (o *Owner) CountThrottled(workspace string, tokens int, uniquePart PartID, objective, now time.Duration) {
 	o.advanceShares(now)
 	if _, isRetry := o.retries.firstObjective(uniquePart); !isRetry {
 		o.shares.recordRequested(workspace, float64(tokens))
 	}
-	o.retries.remember(uniquePart, now+objective, now)
+	o.retries.recordRefusal(uniquePart, now+objective, now)
 	o.shares.recordUnmet(workspace, now)
 }
 
-// CountShed counts requests of a workspace, in tokens, that an entry instance shed for lack
-// of processor time or memory.
+// CountShed counts requests of a workspace that an entry instance shed for lack of processor
+// time or memory, in tokens as in View.TokensPerSecond.
 func (o *Owner) CountShed(workspace string, tokens int, now time.Duration) {
 	o.advanceShares(now)
 	o.shares.recordShed(workspace, float64(tokens), now)
@@ -216,10 +223,11 @@
 	return time.Duration(float64(req.PromptTokens) / (sum / float64(n)) * float64(time.Millisecond))
 }
 
-// AddRunning adds a request that runs on a target without a decision of this owner: the previous
-// owner or the entry instance itself placed it. It was sent sentAgo before now; firstEvent
-// reports whether its first event has arrived. A request already known to run is left
-// unchanged. If the target is unknown, the request is dropped.
+// AddRunning adds a request that runs on a target without a decision of this owner: the
+// previous owner or the entry instance itself placed it. It was sent sentAgo before now;
+// firstEvent reports whether its first event has arrived. A request already known to run is
+// left unchanged, and a queued one leaves the queue. If the target is unknown, the request is
+// dropped.
 func (o *Owner) AddRunning(k Key, req Request, targetID string, firstEvent bool, sentAgo, now time.Duration) {
 	if w := o.requests[k]; w != nil {
 		if w.target != nil {
@@ -293,8 +301,8 @@
 	o.meanRunTimes[service] = mean + time.Duration(runTimeWeight*float64(runTime-mean))
 }
 
-// RemoveEntry removes all requests of an entry instance that is disconnected. Capacity that becomes
-// free is used by the next Tick.
+// RemoveEntry removes all requests of an entry instance that is disconnected. Capacity that
+// becomes free is used by the next Tick.
 func (o *Owner) RemoveEntry(entry string) {
 	for k, w := range o.requests {
 		if k.Entry != entry {
@@ -338,8 +346,8 @@
 const minTickInterval = 10 * time.Millisecond
 
 // Tick starts queued requests for which there is capacity and reviews the others: those that
-// miss their objective are moved or refused. It does nothing within minTickInterval of the
-// last review.
+// miss their objective are moved or refused. It does nothing within 10 ms (minTickInterval)
+// of the last review.
 func (o *Owner) Tick(now time.Duration) {
 	if o.numPending == 0 || now-o.lastTick < minTickInterval {
 		return
--- a/internal/placement/retries.go
+++ b/internal/placement/retries.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// retryMemory is the minimum time for which a refused request is remembered. Callers retry
+	// refusalTTL is the minimum time for which a refused request is recorded. Callers retry
 	// within a third of their remaining time, 5 s on both users' sites.
-	retryMemory = 6 * time.Second
-	// maxRememberedRefusals bounds each of the two generations, which last retryMemory each.
+	refusalTTL = 6 * time.Second
+	// maxTrackedRefusals bounds each of the two generations, which last refusalTTL each.
 	// Both users' sites refuse less than 2,000 requests per second.
-	maxRememberedRefusals = 30_000
+	maxTrackedRefusals = 30_000
 )
 
 // retryTracker detects retries of refused requests, because an attempt does not tell how
@@ -23,14 +23,14 @@
 	return &retryTracker{current: map[PartID]time.Duration{}, previous: map[PartID]time.Duration{}}
 }
 
-// remember stores a refused request with the time at which its first event was due. For a
+// recordRefusal stores a refused request with the time at which its first event was due. For a
 // retry it keeps the earlier time.
-func (r *retryTracker) remember(uniquePart PartID, objectiveAt, now time.Duration) {
+func (r *retryTracker) recordRefusal(uniquePart PartID, objectiveAt, now time.Duration) {
 	r.rotate(now)
 	if first, ok := r.firstObjective(uniquePart); ok {
 		objectiveAt = min(objectiveAt, first)
 	}
-	if uniquePart != 0 && len(r.current) < maxRememberedRefusals {
+	if uniquePart != 0 && len(r.current) < maxTrackedRefusals {
 		r.current[uniquePart] = objectiveAt
 	}
 }
@@ -45,9 +45,9 @@
 	return objectiveAt, ok
 }
 
-// rotate starts a new generation every retryMemory and drops the oldest one.
+// rotate starts a new generation every refusalTTL and drops the oldest one.
 func (r *retryTracker) rotate(now time.Duration) {
-	if now-r.rotatedAt < retryMemory {
+	if now-r.rotatedAt < refusalTTL {
 		return
 	}
 	r.rotatedAt = now
--- a/internal/placement/shares.go
+++ b/internal/placement/shares.go
@@ -14,9 +14,11 @@
 	requested, granted, shed [windowSlots]float64
 	requestedSum             float64
 	grantedSum               float64
-	shedSum                  float64       // of requests that entry instances shed for lack of resources
-	unmetAt                  time.Duration // when the targets last lacked capacity for a request, or an entry instance refused one
-	everUnmet                bool          // unmetAt is set
+	shedSum                  float64 // of requests that entry instances shed for lack of resources
+	// unmetAt is when the targets last lacked capacity for a request, or an entry instance
+	// refused one.
+	unmetAt   time.Duration
+	everUnmet bool // unmetAt is set
 }
 
 // shares tracks the demand and the grants of each workspace over a sliding window and
@@ -42,7 +44,9 @@
 }
 
 func newShares(window time.Duration) *shares {
-	return &shares{window: max(window, time.Second), byName: map[string]*usage{}, fairShare: math.Inf(1), observedShare: math.Inf(1), countedFrom: -1}
+	return &shares{
+		window: max(window, time.Second), byName: map[string]*usage{},
+		fairShare: math.Inf(1), observedShare: math.Inf(1), countedFrom: -1}
 }
 
 func (s *shares) slotAt(now time.Duration) int64 { return int64(now / (s.window / windowSlots)) }
@@ -111,8 +115,8 @@
 // recordMissed counts the tokens of a request that no target could begin in time.
 func (s *shares) recordMissed(tokens float64) { s.missed[s.slot%windowSlots] += tokens }
 
-// minCountedTime is the shortest time over which shares are computed: over less than half a
-// window, a few large requests look like an overload.
+// minCountedTime is the shortest time over which shares are computed, half of the usual window
+// of 4 s: over less, a few large requests look like an overload.
 const minCountedTime = 2 * time.Second
 
 // countedTime returns the time that the counts cover: the window, or less for an owner that
@@ -243,7 +247,7 @@
 	return s.usageOf(name).grantedSum+tokens > ratio*max(minGranted, s.fairShare)
 }
 
-// recentlyUnmet reports whether the targets lacked capacity for a request within unmetTime.
+// recentlyUnmet reports whether recordUnmet was called within unmetTime.
 func (u *usage) recentlyUnmet(now time.Duration) bool {
 	return u.everUnmet && now-u.unmetAt <= unmetTime
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -11,17 +11,20 @@
 // Parameters of the engine model. The rates are initial values and adapt to the observed
 // responses of each target.
 const (
-	initialPrefillRate = 35.0                   // prompt tokens per millisecond, while other requests run
-	minPrefillRate     = 1.0                    // lower bound of the learned rate
-	baseLatency        = 30 * time.Millisecond  // time to the first event without prefill
-	prefillRateWeight  = 0.15                   // weight of the newest observation in the prefill rate
-	minRateSample      = 400                    // uncached tokens from which a response is used to learn the rate
-	stuckFactor        = 2.5                    // multiple of the expected time after which the first request counts as stuck
-	stuckMargin        = 250 * time.Millisecond // added to that time
-	maxHeadProgress    = 0.95                   // maximum part of the first request's prefill that is assumed done before its first event
-	startWindow        = time.Second            // over which the start limit holds
-	initialRunTime     = 2 * time.Second        // assumed run time of a request until some have ended
-	runTimeWeight      = 0.02                   // weight of the newest run time in the mean of a service
+	initialPrefillRate = 35.0                  // prompt tokens per millisecond, while other requests run
+	minPrefillRate     = 1.0                   // lower bound of the learned rate
+	baseLatency        = 30 * time.Millisecond // time to the first event without prefill
+	prefillRateWeight  = 0.15                  // weight of the newest observation in the prefill rate
+	minRateSample      = 400                   // uncached tokens from which a response updates the rate
+	// The first request of the prefill queue counts as stuck after stuckFactor times its
+	// expected time plus stuckMargin. Until its first event, at most maxHeadProgress of its
+	// prefill is assumed to be done.
+	stuckFactor     = 2.5
+	stuckMargin     = 250 * time.Millisecond
+	maxHeadProgress = 0.95
+	startWindow     = time.Second     // over which the start limit holds
+	initialRunTime  = 2 * time.Second // assumed run time of a request until some have ended
+	runTimeWeight   = 0.02            // weight of the newest run time in the mean of a service
 )
 
 // work is one request of an entry instance, queued at the owner or running on a target.
@@ -64,7 +67,7 @@
 const (
 	rankResumed         rank = iota // continues an interrupted stream
 	rankMeetsObjective              // within the share, can meet its objective
-	rankOverloaded                  // within the share, can meet its objective, but the workspace asks for more than its share
+	rankOverloaded                  // like rankMeetsObjective, of an overloaded workspace
 	rankMissesObjective             // within the share, misses its objective
 	rankOverShare                   // exceeds the workspace's share
 	numRanks
@@ -199,7 +202,9 @@
 // canStart reports whether the target can accept a request now: by its backlog, slots, memory
 // and start limit.
 func (t *target) canStart(w *work, startLimit float64, now time.Duration) bool {
-	return t.backlog(now) <= maxTargetBacklog && t.hasCapacity(w, t.cache.uncachedTokens(w.request.Prompt)) && t.startWait(startLimit, 0, now) == 0
+	return t.backlog(now) <= maxTargetBacklog &&
+		t.hasCapacity(w, t.cache.uncachedTokens(w.request.Prompt)) &&
+		t.startWait(startLimit, 0, now) == 0
 }
 
 // hasCapacity reports whether the target has a slot and memory for a request with a number of
--- a/internal/placement/throttle.go
+++ b/internal/placement/throttle.go
@@ -50,7 +50,7 @@
 func NewThrottle() *Throttle { return &Throttle{byWorkspace: map[string]forwardLimit{}} }
 
 // SetShare sets the share of a workspace's requests that pass, from 0 to 1; 1 ends the
-// throttling. The setting expires after forwardShareTTL.
+// throttling. The setting expires after 1 s (forwardShareTTL).
 func (th *Throttle) SetShare(workspace string, share float64, now time.Duration) {
 	if share >= 1 {
 		delete(th.byWorkspace, workspace)
--- a/internal/placement/unit_test.go
+++ b/internal/placement/unit_test.go
@@ -146,7 +146,8 @@
 	other.SetShare("w", 0.3, at)
 	is.True(throttled(th, at) >= 750 && throttled(th, at) <= 850)
 	for own := range PartID(1000) {
-		is.True(th.Refuses("w", own, at) || !other.Refuses("w", own, at)) // what passes the lower share passes the higher one
+		// What passes the lower share passes the higher one.
+		is.True(th.Refuses("w", own, at) || !other.Refuses("w", own, at))
 	}
 	is.True(!th.Refuses("other", 1, at))
 	is.Equal(th.RetryAfter("w"), 2500*time.Millisecond)
--- a/internal/schedule/entry_queue.go
+++ b/internal/schedule/entry_queue.go
@@ -44,7 +44,7 @@
 	return min(max(minRetryAfter, q.meanGrantInterval*time.Duration(q.waiting())/2), maxRetryAfter)
 }
 
-// itemList is a doubly linked list of requests.
+// requestList is a doubly linked list of requests.
 type requestList struct {
 	head, tail *LocalRequest
 	length     int
--- a/internal/schedule/message.go
+++ b/internal/schedule/message.go
@@ -87,9 +87,10 @@
 // Grant assigns a target to one request. A target is identified by its name the
 // first time in a generation and by Ref afterwards.
 type Grant struct {
-	Number   uint64 // number of the request
-	Target   string
-	Ref      uint64  // position of the name among those sent in this generation, from 1
+	Number uint64 // number of the request
+	Target string // name, or "" if Ref identifies the target
+	// Ref is the position of the name among those sent in this generation, from 1.
+	Ref      uint64
 	Estimate float64 // cost units charged for the grant
 }
 
--- a/internal/schedule/outbound.go
+++ b/internal/schedule/outbound.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Tick announces requests whose delay has passed, and removes and returns the
-// waiting requests that missed their deadline.
+// Tick announces the requests that were held back for 50 ms (reannounceDelay) because
+// a grant was returned. It removes and returns the waiting requests that missed their
+// deadline.
 func (e *EntryQueues) Tick(now time.Duration) []*LocalRequest {
 	for _, q := range e.queues {
 		if q.announceAfter != 0 && now >= q.announceAfter {
@@ -164,7 +165,7 @@
 		req.estimate, req.confirmed, toMs(now - req.startedAt)}
 }
 
-// sortedItems returns the announced and running requests in order of announcement.
+// sortedRequests returns the announced and running requests in order of announcement.
 func (e *EntryQueues) sortedRequests() []*LocalRequest {
 	all := make([]*LocalRequest, 0, len(e.requests))
 	for _, req := range e.requests {
--- a/internal/schedule/owner.go
+++ b/internal/schedule/owner.go
@@ -38,11 +38,12 @@
 	// targetTickInterval is the interval between ticks of the target set, each of
 	// which visits every target.
 	targetTickInterval = 50 * time.Millisecond
-	// maxGateTime bounds the wait for the first load report of a target after a
+	// maxFirstReportWait bounds the wait for the first load report of a target after a
 	// takeover. It runs at the same time as the wait for the instances' reports.
-	maxGateTime = time.Second
-	// spareWorkspaces is how many workspaces that instances know and the owner's
-	// view does not are allowed for when an instance's waiting requests are bounded.
+	maxFirstReportWait = time.Second
+	// spareWorkspaces is added to the number of configured workspaces when the waiting
+	// requests of an instance are bounded, for workspaces that the instance knows and
+	// the owner's view does not.
 	spareWorkspaces = 16
 )
 
@@ -60,10 +61,10 @@
 
 // Change is a change of state, recorded as an event of the timeline.
 type Change struct {
-	Step   string // what happened
+	Step   string // "open", "target", "router lost", "router back" or "router restarted"
 	Peer   string // instance concerned, or ""
 	Target string // target concerned, or ""
-	Detail string
+	Detail string // limits.Change.Event for the step "target", else ""
 }
 
 // maxChanges bounds the changes kept between two calls of Changes; further ones are
@@ -87,12 +88,14 @@
 	open           bool
 	workspaceCount int
 	newestTable    ServiceTableMsg // newest copy in a report received before the owner opened
-	tableSeq       uint64          // number of the last copy sent; starts at the clock value, so that it grows if one instance owns an epoch twice
+	// tableSeq is the number of the last copy sent. It starts at the clock value, so
+	// that it grows if one instance owns an epoch twice.
+	tableSeq       uint64
 	tableCopies    uint64
 	lastCopyEmpty  bool   // the last copy had no rows
 	copiedChanges  uint64 // number of changes contained in the last copy
 	lastTargetTick time.Duration
-	lastForget     time.Duration
+	lastRemoveIdle time.Duration
 	changes        []Change
 	grantMsg       GrantMsg
 }
@@ -102,11 +105,11 @@
 // to its data centre.
 func NewOwner(pool string, epoch uint64, instances map[string]string, now time.Duration) *Owner {
 	o := &Owner{
-		pool: pool, epoch: epoch, lastForget: now, tableSeq: toMs(now),
+		pool: pool, epoch: epoch, lastRemoveIdle: now, tableSeq: toMs(now),
 		accounts: fairness.New(), targets: limits.NewSet(),
 		peers: make(map[string]*peer, len(instances)),
 	}
-	o.targets.AwaitReports(now+maxGateTime, now)
+	o.targets.AwaitReports(now+maxFirstReportWait, now)
 	for _, name := range slices.Sorted(maps.Keys(instances)) {
 		p := &peer{name: name, dataCentre: instances[name], lastReceivedAt: now, requests: map[uint64]*request{}, targetRefs: map[string]uint64{}}
 		o.peers[name] = p
--- a/internal/schedule/protocol_test.go
+++ b/internal/schedule/protocol_test.go
@@ -68,9 +68,9 @@
 	return out
 }
 
-// deliverToRouter delivers a message of the owner and returns the number of requests
+// deliverToInstance delivers a message of the owner and returns the number of requests
 // that may start.
-func (p *pair) deliverToRouter(m *GrantMsg) int {
+func (p *pair) deliverToInstance(m *GrantMsg) int {
 	if m == nil {
 		return 0
 	}
@@ -104,22 +104,22 @@
 		handle      func(p *pair) int // delivers the first grant and returns the number of requests started
 		wantStarted int               // requests started by the first grant
 	}{
-		{"delivered", func(p *pair) int { return p.deliverToRouter(p.schedule()) }, 1},
+		{"delivered", func(p *pair) int { return p.deliverToInstance(p.schedule()) }, 1},
 		{"lost", func(p *pair) int { p.schedule(); return 0 }, 0},
-		{"duplicated", func(p *pair) int { m := p.schedule(); return p.deliverToRouter(m) + p.deliverToRouter(m) }, 1},
-		{"delayed", func(p *pair) int { m := p.schedule(); p.now += maxEchoedClockAge + 1*ms; return p.deliverToRouter(m) }, 0},
+		{"duplicated", func(p *pair) int { m := p.schedule(); return p.deliverToInstance(m) + p.deliverToInstance(m) }, 1},
+		{"delayed", func(p *pair) int { m := p.schedule(); p.now += maxEchoedClockAge + 1*ms; return p.deliverToInstance(m) }, 0},
 		{"overtaken by a report", func(p *pair) int {
 			m := p.schedule()
 			p.queues.MessageNotSent()
 			p.deliverToOwner()
-			return p.deliverToRouter(m)
+			return p.deliverToInstance(m)
 		}, 0},
-		{"earlier epoch", func(p *pair) int { m := p.schedule(); p.queues.SetOwner("x", 2); return p.deliverToRouter(m) }, 0},
-		{"clock of another process", func(p *pair) int { m := p.schedule(); m.Clock += 500; return p.deliverToRouter(m) }, 0},
-		{"other incarnation", func(p *pair) int { m := p.schedule(); m.Incarnation++; return p.deliverToRouter(m) }, 0},
-		{"gap", func(p *pair) int { m := p.schedule(); m.GrantsBefore++; return p.deliverToRouter(m) }, 0},
-		{"no lease", func(p *pair) int { m := p.schedule(); p.leaseValid = false; return p.deliverToRouter(m) }, 0},
-		{"target unknown or out of service", func(p *pair) int { m := p.schedule(); p.targetKnown = false; return p.deliverToRouter(m) }, 0},
+		{"earlier epoch", func(p *pair) int { m := p.schedule(); p.queues.SetOwner("x", 2); return p.deliverToInstance(m) }, 0},
+		{"clock of another process", func(p *pair) int { m := p.schedule(); m.Clock += 500; return p.deliverToInstance(m) }, 0},
+		{"other incarnation", func(p *pair) int { m := p.schedule(); m.Incarnation++; return p.deliverToInstance(m) }, 0},
+		{"gap", func(p *pair) int { m := p.schedule(); m.GrantsBefore++; return p.deliverToInstance(m) }, 0},
+		{"no lease", func(p *pair) int { m := p.schedule(); p.leaseValid = false; return p.deliverToInstance(m) }, 0},
+		{"target unknown or out of service", func(p *pair) int { m := p.schedule(); p.targetKnown = false; return p.deliverToInstance(m) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 			}
 			for range 60 {
 				p.advance(50 * ms)
-				p.deliverToRouter(p.schedule())
+				p.deliverToInstance(p.schedule())
 			}
 			is.True(req.Started()) // granted again
 			is.Equal(p.owner.Targets().Target("t").Used(), 1)
@@ -154,7 +154,7 @@
 	is.Equal(p.owner.Waiting(), MaxAnnounced)
 	started := 0
 	for range 3 * MaxAnnounced {
-		started += p.deliverToRouter(p.schedule())
+		started += p.deliverToInstance(p.schedule())
 		for _, req := range all {
 			p.queues.Done(req, api.GrantOutcome{Result: api.ResultOK, Cost: 1}, p.now)
 		}
@@ -173,9 +173,9 @@
 	p.deliverToOwner()
 	m := p.schedule()
 	p.queues.Cancel(all[0], p.now) // crosses its grant
-	is.Equal(p.deliverToRouter(m), 0)
+	is.Equal(p.deliverToInstance(m), 0)
 	p.deliverToOwner()
-	is.Equal(p.deliverToRouter(p.schedule()), 1)
+	is.Equal(p.deliverToInstance(p.schedule()), 1)
 	is.True(all[2].Started())
 	p.queues.Cancel(all[2], p.now)
 	p.deliverToOwner()
--- a/internal/schedule/rebuild.go
+++ b/internal/schedule/rebuild.go
@@ -7,8 +7,8 @@
 )
 
 // Report handles a full report, which replaces the owner's records of the instance.
-// A report of an earlier generation is ignored; one for an earlier epoch leads to a
-// request for a new report.
+// A report that is not of a later generation than the last one is ignored; one for an
+// earlier epoch leads to a request for a new report.
 func (o *Owner) Report(from string, m *ReportMsg, now time.Duration) {
 	p := o.peers[from]
 	if p == nil || m.Epoch > o.epoch || p.isRetired(m.Incarnation) {
@@ -195,8 +195,8 @@
 		o.lastTargetTick = now
 		o.targets.Tick(now)
 	}
-	if now-o.lastForget >= time.Second {
-		o.lastForget = now
+	if now-o.lastRemoveIdle >= time.Second {
+		o.lastRemoveIdle = now
 		o.accounts.RemoveIdle()
 	}
 }
--- a/internal/schedule/router.go
+++ b/internal/schedule/router.go
@@ -74,7 +74,8 @@
 
 // GrantChecker provides the local state that a grant is checked against before use.
 type GrantChecker interface {
-	// LeaseValid reports whether this instance may dispatch now.
+	// LeaseValid reports whether this instance has a valid lease, without which it
+	// must not start requests.
 	LeaseValid() bool
 	// Address returns the address of a target. It returns false if the instance's
 	// view does not list the target in the pool or has it out of service.
@@ -163,7 +164,8 @@
 		return
 	}
 	e.owner, e.epoch = owner, epoch
-	e.unackedOutcomes = e.unackedOutcomes[:0] // a new owner has no record of them; serviceSinceTable holds their cost
+	// A new owner has no record of these requests; serviceSinceTable holds their cost.
+	e.unackedOutcomes = e.unackedOutcomes[:0]
 	e.requireReport()
 }
 
@@ -174,8 +176,8 @@
 	e.pendingDemand.clear()
 }
 
-// MessageNotSent handles a message from Flush that could not be sent: the next message is a
-// full report.
+// MessageNotSent handles a message from Flush that could not be sent: the next message
+// is a full report.
 func (e *EntryQueues) MessageNotSent() { e.requireReport() }
 
 // sendsChanges reports whether changes are sent as increments rather than in the
@@ -416,7 +418,8 @@
 func (e *EntryQueues) applyGrant(g *Grant, usable bool, now time.Duration, env GrantChecker) {
 	req := e.requests[g.Number]
 	if req == nil || req.state != stateAnnounced {
-		e.recordOutcome(g.Number, api.GrantOutcome{Result: api.ResultNotStarted}, now) // cancelled before the grant arrived
+		// The request was cancelled before the grant arrived.
+		e.recordOutcome(g.Number, api.GrantOutcome{Result: api.ResultNotStarted}, now)
 		return
 	}
 	address, ok := "", false
--- a/internal/targetlist/list.go
+++ b/internal/targetlist/list.go
@@ -31,17 +31,20 @@
 
 // Entry is the wire form of a target.
 type Entry struct {
-	ID            string `json:"i"`
-	Service       string `json:"s"`
-	Address       string `json:"a"`
-	DataCentre    string `json:"z,omitempty"`
-	Slots         int    `json:"n,omitempty"`
-	Leaving       bool   `json:"l,omitempty"`
-	ColdMs        int64  `json:"c,omitempty"` // remaining cold start when the update was made; 0 = warm
-	StartedUnixMs int64  `json:"b,omitempty"` // start of the target's incarnation, Unix time in milliseconds; 0 = unknown
+	ID         string `json:"i"`
+	Service    string `json:"s"`
+	Address    string `json:"a"`
+	DataCentre string `json:"z,omitempty"`
+	Slots      int    `json:"n,omitempty"`
+	Leaving    bool   `json:"l,omitempty"`
+	ColdMs     int64  `json:"c,omitempty"` // rest of the cold start at the time of the update; 0 = warm
+	// StartedUnixMs is the start of the target's incarnation as Unix time in milliseconds;
+	// 0 = unknown.
+	StartedUnixMs int64 `json:"b,omitempty"`
 }
 
-// Update is the changes of a list from Base to Position, or the full list at Position.
+// Update is the changes of a list from position Base to position At, or the full list at
+// position At.
 type Update struct {
 	At   Position `json:"at"`
 	Base Position `json:"base"`
@@ -196,8 +199,8 @@
 
 // Apply applies an update received from another instance. It ignores an update that
 // is not newer than the list. missing reports that earlier updates are missing: the
-// update was not applied, and the caller must fetch the changes since Position or the full
-// list. changed reports that the update was applied.
+// update was not applied, and the caller must fetch the changes since Position or the
+// full list. changed reports that the update was applied.
 func (l *List) Apply(u Update, now time.Duration) (changed, missing bool) {
 	if !l.position.Less(u.At) {
 		return false, false
--- a/internal/targetlist/list_test.go
+++ b/internal/targetlist/list_test.go
@@ -13,8 +13,8 @@
 )
 
 // entry returns a warm target of the platform's list.
-func entry(id string, bornMs int64) api.DirectoryEntry {
-	return api.DirectoryEntry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, StartedUnixMs: bornMs}
+func entry(id string, startedUnixMs int64) api.DirectoryEntry {
+	return api.DirectoryEntry{ID: id, Service: "s", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, StartedUnixMs: startedUnixMs}
 }
 
 // Guards against updates that lack a leaving target, a new incarnation or a cold
--- a/plugin/mesh/fault_test.go
+++ b/plugin/mesh/fault_test.go
@@ -73,7 +73,7 @@
 		return w.metricTotal("a", "nutmeg_mesh_links_silent") > 0 || a.links["b"].openSession() != first
 	})
 	t.Logf("detected after %s", time.Since(begin))
-	is.True(time.Since(begin) <= 2*time.Second)
+	is.True(time.Since(begin) <= 2*time.Second) // the bound of section 1 of the design (docs/design.md)
 	w.await("new link", func() bool { s := a.links["b"].openSession(); return s != nil && s != first })
 	var got string
 	is.NoErr(a.Call(withTimeout(t), "b", "echo", 1, &got))
