--- a/internal/logqueue/handler.go
+++ b/internal/logqueue/handler.go
@@ -30,13 +30,13 @@
 
 // Limits on the log volume of one process.
 const (
-	// OrdinaryBytes limits lines up to the level Info, which are those of requests
+	// OrdinaryBytesPerSecond limits lines up to the level Info, which are those of requests
 	// without failures, in bytes per second.
-	OrdinaryBytes = 96 << 10
-	// FailedBytes limits the lines of failed requests, in bytes per second.
-	FailedBytes = 64 << 10
-	// BeliefBytes limits all other lines, in bytes per second.
-	BeliefBytes = 64 << 10
+	OrdinaryBytesPerSecond = 96 << 10
+	// FailedBytesPerSecond limits the lines of failed requests, in bytes per second.
+	FailedBytesPerSecond = 64 << 10
+	// StateBytesPerSecond limits all other lines, in bytes per second.
+	StateBytesPerSecond = 64 << 10
 	// queueCapacity bounds the lines of each class that wait for the writer.
 	queueCapacity = 2048
 	// maxWriteBytes is the size from which on no more lines are added to a write.
@@ -69,9 +69,9 @@
 func New(out io.Writer, set *metrics.Set) *Queue {
 	q := &Queue{
 		out:      out,
-		ordinary: newLineClass(set, "ordinary", OrdinaryBytes),
-		failed:   newLineClass(set, "failed", FailedBytes),
-		state:    newLineClass(set, "beliefs", BeliefBytes),
+		ordinary: newLineClass(set, "ordinary", OrdinaryBytesPerSecond),
+		failed:   newLineClass(set, "failed", FailedBytesPerSecond),
+		state:    newLineClass(set, "beliefs", StateBytesPerSecond),
 	}
 	q.keptShare.Store(^uint32(0))
 	return q
--- a/internal/logqueue/handler_test.go
+++ b/internal/logqueue/handler_test.go
@@ -68,7 +68,7 @@
 	logRequests(5000)
 	q.startInterval()
 	logRequests(5000)
-	is.True(out.Len() <= OrdinaryBytes+FailedBytes+BeliefBytes)
+	is.True(out.Len() <= OrdinaryBytesPerSecond+FailedBytesPerSecond+StateBytesPerSecond)
 	lines := map[string]int{}
 	for _, l := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		var line struct{ Level, Msg, Request string }
