--- a/cmd/nutmegctl/explain.go
+++ b/cmd/nutmegctl/explain.go
@@ -34,13 +34,13 @@
 			return err
 		}
 	}
-	story := r.Story()
+	story := r.Trace()
 	if asJSON {
 		return t.printJSON(story)
 	}
 	t.printStory(story)
 	if len(story.Lines) == 0 {
-		return errors.Errorf("no line of request %s in %d lines of %d instances", story.Request, story.Read, len(story.Instances))
+		return errors.Errorf("no line of request %s in %d lines of %d instances", story.Request, story.LinesRead, len(story.Instances))
 	}
 	return nil
 }
@@ -57,11 +57,11 @@
 	return errors.WithMessage(r.Read(f), name)
 }
 
-func (t *tool) printStory(story explain.Story) {
-	if len(story.Beliefs) > 0 {
+func (t *tool) printStory(story explain.Trace) {
+	if len(story.State) > 0 {
 		fmt.Fprintln(t.out, "last known state when the request arrived:")
 	}
-	for _, b := range story.Beliefs {
+	for _, b := range story.State {
 		fmt.Fprintf(t.out, "  %9s before  %s  %s %s\n", b.Age.Round(time.Millisecond), b.Instance, b.Message, formatFields(b.Line))
 	}
 	if len(story.Lines) > 0 {
@@ -76,7 +76,7 @@
 	case len(story.Lines) > 0:
 		fmt.Fprintln(t.out, "outcome: unknown; no log line ends the request, the process may have stopped")
 	}
-	fmt.Fprintf(t.out, "read %d lines of %d instances; %d were not log lines\n", story.Read, len(story.Instances), story.Unreadable)
+	fmt.Fprintf(t.out, "read %d lines of %d instances; %d were not log lines\n", story.LinesRead, len(story.Instances), story.Unreadable)
 	if len(story.Missing) > 0 {
 		fmt.Fprintf(t.out, "instances named in these lines but missing from the input: %s\n", strings.Join(story.Missing, ", "))
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -33,25 +33,25 @@
 	Fields   map[string]any `json:"fields"` // all others
 }
 
-// Belief is the last log line about one subject, such as a target or the
+// StateLine is the last log line about one subject, such as a target or the
 // configuration, that an instance wrote before its first line of the request.
-type Belief struct {
+type StateLine struct {
 	Line
 	// Age is the time from this line to the instance's first line of the request.
 	Age time.Duration `json:"age_ns"`
 }
 
-// Story is all that the logs contain about a request.
-type Story struct {
+// Trace is all that the logs contain about a request.
+type Trace struct {
 	Request string `json:"request"` // request id
 	// Lines are the log lines of the request in order of time.
 	Lines []Line `json:"lines"`
-	// Beliefs are the state of the instances that handled the request at that time.
-	Beliefs []Belief `json:"beliefs"`
+	// State are the state of the instances that handled the request at that time.
+	State []StateLine `json:"beliefs"`
 	// Outcome is the last line that ends the request; nil if there is none.
 	Outcome *Line `json:"outcome"`
-	// Read counts the input lines, Unreadable those that are not log lines.
-	Read       int `json:"read"`
+	// LinesRead counts the input lines, Unreadable those that are not log lines.
+	LinesRead  int `json:"read"`
 	Unreadable int `json:"unreadable"`
 	// Instances names the instances with lines in the input. Missing names those that
 	// the lines mention but that have no lines themselves.
@@ -74,7 +74,7 @@
 // Reader reads log lines and keeps those of one request and the state logged before
 // them.
 type Reader struct {
-	result        Story
+	result        Trace
 	logged        map[string]bool            // names and mesh addresses of instances with lines
 	meshAddresses map[string]bool            // those of logged that are addresses
 	mentioned     map[string]bool            // instances that lines mention as peers
@@ -85,20 +85,20 @@
 // NewReader returns a reader for the lines of the request with this id.
 func NewReader(request string) *Reader {
 	return &Reader{
-		result: Story{Request: request},
+		result: Trace{Request: request},
 		logged: map[string]bool{}, meshAddresses: map[string]bool{}, mentioned: map[string]bool{},
 		current: map[string]map[string]Line{}, atRequest: map[string]map[string]Line{},
 	}
 }
 
-// Read reads the log lines of one source. Lines of one instance must be in the order in
+// LinesRead reads the log lines of one source. Lines of one instance must be in the order in
 // which it wrote them. Text before the first brace of a line is skipped, because log
 // collectors add prefixes.
 func (r *Reader) Read(src io.Reader) error {
 	s := bufio.NewScanner(src)
 	s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for s.Scan() {
-		r.result.Read++
+		r.result.LinesRead++
 		l, ok := parse(s.Bytes())
 		if !ok {
 			r.result.Unreadable++
@@ -161,8 +161,8 @@
 	return l.Step
 }
 
-// Story returns the result of all lines read so far.
-func (r *Reader) Story() Story {
+// Trace returns the result of all lines read so far.
+func (r *Reader) Trace() Trace {
 	s := r.result
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	for i := range s.Lines {
@@ -170,7 +170,7 @@
 			s.Outcome = &s.Lines[i]
 		}
 	}
-	s.Beliefs = r.relevantState(s.Lines)
+	s.State = r.relevantState(s.Lines)
 	for name := range r.logged {
 		if !r.meshAddresses[name] {
 			s.Instances = append(s.Instances, name)
@@ -188,7 +188,7 @@
 
 // relevantState returns the state lines of the instances that handled the request,
 // without those about targets that the lines of the request do not mention.
-func (r *Reader) relevantState(lines []Line) (out []Belief) {
+func (r *Reader) relevantState(lines []Line) (out []StateLine) {
 	usedTargets := map[string]bool{}
 	first := map[string]time.Time{}
 	for _, l := range lines {
@@ -204,10 +204,10 @@
 			if _, aboutTarget := l.Fields["target"].(string); aboutTarget && !usedTargets[key] {
 				continue
 			}
-			out = append(out, Belief{l, first[instance].Sub(l.Time)})
+			out = append(out, StateLine{l, first[instance].Sub(l.Time)})
 		}
 	}
-	slices.SortFunc(out, func(a, b Belief) int {
+	slices.SortFunc(out, func(a, b StateLine) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Instance, b.Instance), cmp.Compare(subject(a.Line), subject(b.Line)))
 	})
 	return out
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -32,13 +32,13 @@
 `
 )
 
-func readLines(t *testing.T, request string, sources ...string) Story {
+func readLines(t *testing.T, request string, sources ...string) Trace {
 	t.Helper()
 	r := NewReader(request)
 	for _, src := range sources {
 		is.New(t).NoErr(r.Read(strings.NewReader(strings.TrimSpace(src))))
 	}
-	return r.Story()
+	return r.Trace()
 }
 
 // Guards against lines that are out of order or of another request, and against a
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	s := readLines(t, "r1", entryLines)
 	var messages []string
-	for _, b := range s.Beliefs {
+	for _, b := range s.State {
 		messages = append(messages, b.Message)
 		if b.Step == "view" {
 			is.Equal(b.Fields["version"], 7.0)
@@ -80,5 +80,5 @@
 	s := readLines(t, "r9", entryLines)
 	is.Equal(len(s.Lines), 0)
 	is.True(s.Outcome == nil)
-	is.Equal(len(s.Beliefs), 0)
+	is.Equal(len(s.State), 0)
 }
--- a/plugin/gateway/logs_test.go
+++ b/plugin/gateway/logs_test.go
@@ -92,12 +92,12 @@
 	slowCaller.send(request("GET", "/look/1", "slow1", ""))
 	slowCaller.want(http.StatusOK, "ok")
 
-	story := func(id string) explain.Story {
+	story := func(id string) explain.Trace {
 		reader := explain.NewReader(id)
 		r.is.NoErr(reader.Read(strings.NewReader(r.logs.String())))
-		return reader.Story()
+		return reader.Trace()
 	}
-	field := func(s explain.Story, msg, name string) any {
+	field := func(s explain.Trace, msg, name string) any {
 		for _, l := range s.Lines {
 			if v, ok := l.Fields[name]; ok && l.Message == msg {
 				return v
