--- a/cmd/nutmegd/main.go
+++ b/cmd/nutmegd/main.go
@@ -81,7 +81,7 @@
 	logDone := make(chan struct{})
 	go func() { queue.Run(logCtx); close(logDone) }()
 	defer func() { stopLog(); <-logDone }()
-	if s.Routed() {
+	if s.IsRoutes() {
 		debug.SetGCPercent(gcPercent)
 		debug.SetMemoryLimit(int64(memoryLimitRatio * s.Routes.MemoryMB * (1 << 20)))
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// LinesRead reads the log lines of one source. Lines of one instance must be in the order in
+// Read reads the log lines of one source. Lines of one instance must be in the order in
 // which it wrote them. Text before the first brace of a line is skipped, because log
 // collectors add prefixes.
 func (r *Reader) Read(src io.Reader) error {
--- a/internal/fleetrun/layout.go
+++ b/internal/fleetrun/layout.go
@@ -155,7 +155,7 @@
 func (l *Layout) peersOf(name string) ([]settings.Peer, error) {
 	var out []settings.Peer
 	for _, r := range l.Routers {
-		p := settings.Peer{Instance: r.Instance, DataCentre: r.DataCentre, Mesh: r.Mesh, Disk: r.DataDir != ""}
+		p := settings.Peer{Instance: r.Instance, DataCentre: r.DataCentre, Mesh: r.Mesh, HasDisk: r.DataDir != ""}
 		if l.Link != nil && r.Instance != name {
 			var err error
 			if p.Mesh, err = l.Link(name, r.Instance, r.Mesh); err != nil {
--- a/internal/kernel/plugin.go
+++ b/internal/kernel/plugin.go
@@ -59,23 +59,23 @@
 func OnAllProfiles(*settings.Settings) bool { return true }
 
 // OnRoutes enables a plug-in with the profile "routes".
-func OnRoutes(s *settings.Settings) bool { return s.Routed() }
+func OnRoutes(s *settings.Settings) bool { return s.IsRoutes() }
 
 // OnRoutesEntry enables a plug-in on entry instances of the profile "routes".
-func OnRoutesEntry(s *settings.Settings) bool { return s.Routed() && s.ServesCallers() }
+func OnRoutesEntry(s *settings.Settings) bool { return s.IsRoutes() && s.ServesCallers() }
 
 // OnRoutesControl enables a plug-in on control instances of the profile "routes".
-func OnRoutesControl(s *settings.Settings) bool { return s.Routed() && !s.ServesCallers() }
+func OnRoutesControl(s *settings.Settings) bool { return s.IsRoutes() && !s.ServesCallers() }
 
 // OnPoolsOrRoutesControl enables a plug-in with the profile "pools" and on control
 // instances of the profile "routes".
-func OnPoolsOrRoutesControl(s *settings.Settings) bool { return !s.Routed() || OnRoutesControl(s) }
+func OnPoolsOrRoutesControl(s *settings.Settings) bool { return !s.IsRoutes() || OnRoutesControl(s) }
 
 func (r Registration) isEnabled(s *settings.Settings) bool {
 	if r.Enabled != nil {
 		return r.Enabled(s)
 	}
-	return !s.Routed()
+	return !s.IsRoutes()
 }
 
 // Values of Registration.Order for the standard plug-ins.
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -13,8 +13,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one error in a settings file.
-type Fault struct {
+// Problem is one error in a settings file.
+type Problem struct {
 	File  string
 	Line  int // 1-based; 0 = the whole file
 	Field string
@@ -22,15 +22,15 @@
 }
 
 // Error implements error.
-func (f Fault) Error() string {
+func (f Problem) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Text)
 }
 
-// Faults is the list of all errors in one file.
-type Faults []Fault
+// Problems is the list of all errors in one file.
+type Problems []Problem
 
 // Error implements error. It returns one line for each fault.
-func (fs Faults) Error() string {
+func (fs Problems) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.Error()
@@ -53,7 +53,7 @@
 func Parse(file string, raw []byte) (*Settings, error) {
 	std, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
-		return nil, Faults{{File: file, Line: lineOfSyntaxError(err), Field: "(syntax)", Text: err.Error()}}
+		return nil, Problems{{File: file, Line: lineOfSyntaxError(err), Field: "(syntax)", Text: err.Error()}}
 	}
 	p := &parser{file: file, raw: std}
 	s := &Settings{}
@@ -80,13 +80,13 @@
 type parser struct {
 	file   string
 	raw    []byte
-	faults Faults
+	faults Problems
 }
 
 // addFault records an error of a field at an offset of the file.
 func (p *parser) addFault(offset int, field, format string, args ...any) {
 	line := 1 + bytes.Count(p.raw[:min(offset, len(p.raw))], []byte("\n"))
-	p.faults = append(p.faults, Fault{p.file, line, field, fmt.Sprintf(format, args...)})
+	p.faults = append(p.faults, Problem{p.file, line, field, fmt.Sprintf(format, args...)})
 }
 
 // decodeObject decodes raw, a JSON object at offset base of the file, into the struct v.
@@ -213,7 +213,7 @@
 		if peer.Instance != s.Instance {
 			continue
 		}
-		if peer.Disk != (s.DataDir != "") {
+		if peer.HasDisk != (s.DataDir != "") {
 			p.addFault(p.fieldOffset("dataDir"), "dataDir", "must be set exactly if peers marks this instance with disk")
 		}
 		if peer.DataCentre != s.DataCentre {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,14 +47,14 @@
 	ProfileRoutes = "routes"
 )
 
-// Routed reports whether the profile is "routes".
-func (s *Settings) Routed() bool { return s.Profile == ProfileRoutes }
+// IsRoutes reports whether the profile is "routes".
+func (s *Settings) IsRoutes() bool { return s.Profile == ProfileRoutes }
 
 // MeshName returns the name of this instance in the mesh. Control instances of the
 // profile "routes" are named by their mesh address, so that the replicated
 // membership contains their addresses.
 func (s *Settings) MeshName() string {
-	if s.Routed() && s.DataDir != "" {
+	if s.IsRoutes() && s.DataDir != "" {
 		return s.Mesh
 	}
 	return s.Instance
@@ -77,8 +77,8 @@
 	DataCentre string `json:"dataCentre"`
 	// Mesh is the IP:port at which this instance reaches the peer.
 	Mesh string `json:"mesh"`
-	// Disk reports that the peer has a disk and so a control replica.
-	Disk bool `json:"disk,omitempty"`
+	// HasDisk reports that the peer has a disk and so a control replica.
+	HasDisk bool `json:"disk,omitempty"`
 }
 
 // Limits bound the use of memory and time. Zero values mean the defaults.
@@ -127,7 +127,7 @@
 func (s *Settings) Replicas() []string {
 	var out []string
 	for _, p := range s.Peers {
-		if p.Disk {
+		if p.HasDisk {
 			out = append(out, p.Instance)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,7 +27,7 @@
 	s, err := Parse("good.json", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(s.Instance, "a1")
-	is.Equal(s.Peers[0].Disk, true)
+	is.Equal(s.Peers[0].HasDisk, true)
 	is.Equal(s.MaxBodyBytes(), DefaultMaxBodyBytes)
 }
 
--- a/plugin/admin/setup.go
+++ b/plugin/admin/setup.go
@@ -83,7 +83,7 @@
 	if a.fleet, err = kernel.Lookup[api.Fleet](c); err != nil {
 		return err
 	}
-	if c.Settings.Routed() {
+	if c.Settings.IsRoutes() {
 		if c.Settings.ServesCallers() {
 			return nil
 		}
--- a/plugin/control/cluster_test.go
+++ b/plugin/control/cluster_test.go
@@ -77,7 +77,7 @@
 	}
 	s := &settings.Settings{Instance: name}
 	for i, n := range c.names {
-		s.Peers = append(s.Peers, settings.Peer{Instance: n, Disk: i < c.disks})
+		s.Peers = append(s.Peers, settings.Peer{Instance: n, HasDisk: i < c.disks})
 		if n == name && i < c.disks {
 			s.DataDir = filepath.Join(c.dir, name)
 		}
--- a/plugin/control/setup.go
+++ b/plugin/control/setup.go
@@ -85,7 +85,7 @@
 // topology if instances are discovered, otherwise the settings. For the latter it also
 // looks up the lease service, which knows the view revisions of the instances.
 func (c *Control) lookUpMembership(k *kernel.Context) (err error) {
-	if k.Settings.Routed() {
+	if k.Settings.IsRoutes() {
 		c.topology, err = kernel.Lookup[api.Topology](k)
 		return err
 	}
--- a/plugin/mesh/setup.go
+++ b/plugin/mesh/setup.go
@@ -79,7 +79,7 @@
 		m.links[p.Instance] = newLink(m, p.Instance, p.Mesh, m.peerState(p.Instance).counters)
 	}
 	sort.Strings(m.peers)
-	if c.Settings.Routed() {
+	if c.Settings.IsRoutes() {
 		m.linkManager = newLinkManager(c.Settings)
 		if err := kernel.Provide[api.LinkManager](c, m); err != nil {
 			return err
