--- a/cmd/nutmegctl/change.go
+++ b/cmd/nutmegctl/change.go
@@ -234,7 +234,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return &exitError{exitUnknown, errors.Errorf("revision %d is not in force everywhere yet, waiting for %v", revision, res.Waiting)}
+			return &exitError{exitUnknown, errors.Errorf("revision %d is not in force everywhere yet, waiting for %v", revision, res.WaitingInstances)}
 		case <-time.After(pollInterval):
 		}
 	}
--- a/cmd/nutmegctl/main_test.go
+++ b/cmd/nutmegctl/main_test.go
@@ -47,7 +47,7 @@
 	case adminapi.PathView:
 		out = api.View{Revision: 4}
 	case adminapi.PathInForce:
-		out = adminapi.InForce{Revision: 5, InForce: f.inForce, Waiting: []string{"b"}}
+		out = adminapi.InForce{Revision: 5, InForce: f.inForce, WaitingInstances: []string{"b"}}
 	case adminapi.PathStatus:
 		out = adminapi.Status{Instance: "a", Ready: true, Control: api.ControlStatus{Role: "leader"}}
 	case adminapi.PathChanges:
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -39,7 +39,7 @@
 	DataCentre string            `json:"data_centre"`
 	Ready      bool              `json:"ready"`
 	NotReady   string            `json:"not_ready,omitempty"` // reason if not ready
-	Lease      bool              `json:"lease"`               // the instance lease is valid
+	LeaseValid bool              `json:"lease"`               // the instance lease is valid
 	Revision   uint64            `json:"revision"`            // of the view in force
 	Out        []string          `json:"out,omitempty"`       // data centres out of service
 	Pools      []PoolStatus      `json:"pools,omitempty"`
@@ -56,10 +56,10 @@
 
 // PeerStatus is the state of a peer as known to an instance.
 type PeerStatus struct {
-	Instance  string `json:"instance"`
-	Reachable bool   `json:"reachable"`      // a direct or relayed path is known
-	MayLease  bool   `json:"may_hold_lease"` // may have a valid instance lease
-	Revision  uint64 `json:"revision"`       // newest view revision that it has reported
+	Instance     string `json:"instance"`
+	Reachable    bool   `json:"reachable"`      // a direct or relayed path is known
+	MayHoldLease bool   `json:"may_hold_lease"` // may have a valid instance lease
+	Revision     uint64 `json:"revision"`       // newest view revision that it has reported
 }
 
 // InForce reports whether a revision is in force on every instance that may
@@ -67,9 +67,9 @@
 type InForce struct {
 	Revision uint64 `json:"revision"`
 	InForce  bool   `json:"in_force"`
-	// Waiting names the instances that may have a valid lease but have not reported
+	// WaitingInstances names the instances that may have a valid lease but have not reported
 	// the revision.
-	Waiting []string `json:"waiting,omitempty"`
+	WaitingInstances []string `json:"waiting,omitempty"`
 }
 
 // Filter selects events that match all non-empty fields.
--- a/plugin/admin/http.go
+++ b/plugin/admin/http.go
@@ -99,7 +99,7 @@
 		}
 		return out
 	}
-	out.Lease = a.lease.Valid()
+	out.LeaseValid = a.lease.Valid()
 	if view.Config != nil {
 		for _, p := range view.Config.Pools {
 			owner, epoch, _ := a.lease.Owner(p.Name)
@@ -109,7 +109,7 @@
 	for _, peer := range a.mesh.Peers() {
 		out.Peers = append(out.Peers, adminapi.PeerStatus{
 			Instance: peer, Reachable: a.mesh.Reachable(peer),
-			MayLease: a.lease.MayHoldLease(peer), Revision: a.lease.PeerRevision(peer),
+			MayHoldLease: a.lease.MayHoldLease(peer), Revision: a.lease.PeerRevision(peer),
 		})
 	}
 	return out
@@ -177,14 +177,14 @@
 	}
 	out := adminapi.InForce{Revision: uint64(revision)}
 	if a.fleet.View().Revision < out.Revision {
-		out.Waiting = append(out.Waiting, a.kernel.Settings.Instance)
+		out.WaitingInstances = append(out.WaitingInstances, a.kernel.Settings.Instance)
 	}
 	for _, peer := range a.mesh.Peers() {
 		if a.lease != nil && a.lease.MayHoldLease(peer) && a.lease.PeerRevision(peer) < out.Revision {
-			out.Waiting = append(out.Waiting, peer)
+			out.WaitingInstances = append(out.WaitingInstances, peer)
 		}
 	}
-	out.InForce = len(out.Waiting) == 0
+	out.InForce = len(out.WaitingInstances) == 0
 	writeJSON(r, out)
 }
 
