--- a/cmd/nutmegsoak/main.go
+++ b/cmd/nutmegsoak/main.go
@@ -94,8 +94,8 @@
 		return false
 	}
 	fmt.Print(r)
-	if len(r.Found) > 0 {
-		fmt.Printf("  faults: %v\n  logs in %s\n", r.Played, o.Dir)
+	if len(r.Violations) > 0 {
+		fmt.Printf("  faults: %v\n  logs in %s\n", r.Faults, o.Dir)
 		return false
 	}
 	if temporary {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,18 +15,18 @@
 // Report is the result of one run.
 type Report struct {
 	Seed             uint64
-	Played           []string // names of the faults, in the order in which they started
+	Faults           []string // names of the faults, in the order in which they started
 	Served, Attempts int      // requests with a complete 200 response, and all, without disconnected callers
 	AfterServed      int      // the part of Served sent after the faults and the recovery time
 	AfterAttempts    int      // the part of Attempts sent after the faults and the recovery time
-	Found            []string // violations of the fleet's guarantees, one line each
+	Violations       []string // violations of the fleet's guarantees, one line each
 }
 
 // String returns a line with the counts and one line for each violation.
 func (r *Report) String() string {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "seed %d: %d of %d served, after the faults %d of %d, %d violations\n", r.Seed, r.Served, r.Attempts, r.AfterServed, r.AfterAttempts, len(r.Found))
-	for _, f := range r.Found {
+	fmt.Fprintf(&b, "seed %d: %d of %d served, after the faults %d of %d, %d violations\n", r.Seed, r.Served, r.Attempts, r.AfterServed, r.AfterAttempts, len(r.Violations))
+	for _, f := range r.Violations {
 		fmt.Fprintf(&b, "  %s\n", f)
 	}
 	return b.String()
@@ -62,18 +62,18 @@
 	if o.Quiet {
 		sleep(ctx, o.Duration)
 	} else {
-		report.Played = h.injectFaults(ctx)
+		report.Faults = h.injectFaults(ctx)
 	}
 	faultsEnded := time.Now()
 	sleep(ctx, recoveryTime+loadAfterRecovery)
 	stopLoad()
 	wg.Wait()
 	requests := generator.recorded()
-	report.Found = append(h.findViolations(requests), h.checkConfig(ctx)...)
+	report.Violations = append(h.findViolations(requests), h.checkConfig(ctx)...)
 	report.Served, report.Attempts = countServed(requests, time.Time{}, time.Now())
 	report.AfterServed, report.AfterAttempts = countServed(requests, faultsEnded.Add(recoveryTime), time.Now())
 	if report.AfterServed*2 < report.AfterAttempts {
-		report.Found = append(report.Found, fmt.Sprintf("after the faults only %d of %d requests were served, want at least half", report.AfterServed, report.AfterAttempts))
+		report.Violations = append(report.Violations, fmt.Sprintf("after the faults only %d of %d requests were served, want at least half", report.AfterServed, report.AfterAttempts))
 	}
 	return report, ctx.Err()
 }
