--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -10,7 +10,7 @@
 // findViolations checks the recorded requests and the runs at the targets against
 // the fleet's guarantees. Each violation is one line.
 func (h *harness) findViolations(requests []*request) []string {
-	violations := h.ledger.Broken()
+	violations := h.ledger.Violations()
 	runs := h.ledger.All()
 	byID := map[string]*request{}
 	for _, req := range requests {
@@ -36,16 +36,16 @@
 	add := func(format string, args ...any) {
 		violations = append(violations, fmt.Sprintf("%s (%s at %s, sent %s): ", req.call.ID, req.route.Name, req.entry.name, req.sentAt.Format("15:04:05.000"))+fmt.Sprintf(format, args...))
 	}
-	if req.response.Wrong != "" {
-		add("%s", req.response.Wrong)
+	if req.response.ContentError != "" {
+		add("%s", req.response.ContentError)
 	}
-	if req.response.Promises() && len(runs) > 0 && req.response.Signed == "" && req.route.Kind != "idempotent" {
+	if req.response.GuaranteesNotRun() && len(runs) > 0 && req.response.Stamp == "" && req.route.Kind != "idempotent" {
 		add("status %d promises that the request did not run, but it ran on %s", req.response.Status, runs[0].Target)
 	}
 	if req.response.Status == 404 || req.response.Status == 401 {
 		add("status %d, although the route and the key were always configured", req.response.Status)
 	}
-	if overrun := req.response.Took - time.Duration(req.route.TimeoutMs)*time.Millisecond; overrun > 700*time.Millisecond {
+	if overrun := req.response.Elapsed - time.Duration(req.route.TimeoutMs)*time.Millisecond; overrun > 700*time.Millisecond {
 		add("response ended %v after its deadline", overrun)
 	}
 	return violations
@@ -123,7 +123,7 @@
 			continue
 		}
 		total++
-		if req.response.Status == 200 && req.response.Whole && req.response.Wrong == "" {
+		if req.response.Status == 200 && req.response.Complete && req.response.ContentError == "" {
 			servedCount++
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -82,9 +82,9 @@
 		}},
 		{"replace-target", 0, replaceTarget},
 		{"list-refused", 0, func(ctx context.Context, h *harness, rng *rand.Rand) {
-			h.directory.SetDown(true)
+			h.directory.SetRateLimited(true)
 			randomPause(ctx, rng, 3)
-			h.directory.SetDown(false)
+			h.directory.SetRateLimited(false)
 		}},
 		{"configure", 0, replaceConfig},
 		{"bad-configuration", 0, submitInvalidConfig},
@@ -231,7 +231,7 @@
 		return
 	}
 	h.targets[i], h.targets = replacement, h.targets[:len(h.targets)-1]
-	old.Leave()
+	old.MarkDraining()
 	select {
 	case <-ctx.Done():
 	case <-time.After(leaveMs*time.Millisecond + time.Duration(rng.IntN(3000))*time.Millisecond):
@@ -265,7 +265,7 @@
 	doc = doc[:len(doc)-1-rng.IntN(len(doc)/2)]
 	status, err := h.operator.Replace(ctx, pick(h.controlInstances(), rng).address(operatorPort), doc)
 	if err == nil && status != http.StatusBadRequest && status != http.StatusServiceUnavailable {
-		h.ledger.Break("the response to an invalid configuration was " + http.StatusText(status))
+		h.ledger.RecordViolation("the response to an invalid configuration was " + http.StatusText(status))
 	}
 }
 
@@ -274,7 +274,7 @@
 	dc := pick(dataCentres, rng)
 	setOut := func(out bool) func() bool {
 		return func() bool {
-			status, err := h.operator.Move(ctx, pick(h.controlInstances(), rng).address(operatorPort), dc, out)
+			status, err := h.operator.SetEvacuated(ctx, pick(h.controlInstances(), rng).address(operatorPort), dc, out)
 			return err == nil && status == http.StatusOK
 		}
 	}
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -83,7 +83,7 @@
 	procs           proc.Group
 	instances       []*instance
 	directory       *standin.Directory
-	ledger          *standin.Ledger
+	ledger          *standin.RunLog
 	targets         []*standin.Target
 	targetRelays    map[string]*relay.Relay // in front of the targets, by target id
 	config          standin.Config
@@ -129,7 +129,7 @@
 // baseConfig returns a configuration with four routes, among them each kind.
 func baseConfig() standin.Config {
 	return standin.Config{
-		Callers:  standin.UsualCallers,
+		Callers:  standin.UsualCallerLimits,
 		Version:  1,
 		Services: []standin.Service{{Name: "model", Engine: true, Slots: 16}, {Name: "orders"}},
 		Routes: []standin.Route{
@@ -147,7 +147,7 @@
 	h.targetCount++
 	t := &standin.Target{
 		ID: fmt.Sprintf("i-%s-%d", service, h.targetCount), Service: service, DataCentre: dc, Engine: engine, Slots: slots,
-		Ledger: h.ledger, ColdMost: standin.ColdPerSecond*coldOverage + coldSlack, Born: time.Now(),
+		Ledger: h.ledger, MaxColdPerSecond: standin.ColdPerSecond*coldOverage + coldSlack, StartedAt: time.Now(),
 	}
 	if err := t.Start(h.ip(0)); err != nil {
 		return nil, err
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.Shown = p.Addr()
+	t.ListedAddress = p.Addr()
 	h.targetRelays[t.ID] = p
 	h.targets = append(h.targets, t)
 	h.directory.Add(t)
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -17,7 +17,7 @@
 	route       standin.Route
 	entry       *instance
 	sentAt      time.Time
-	response    standin.Answer
+	response    standin.Response
 	disconnects bool // the caller disconnects 100 ms after sending
 }
 
@@ -81,7 +81,7 @@
 	}
 	if !route.Public {
 		keys := []string{"key-small", "key-large-1", "key-large-2", "key-large-1", "key-large-2", "key-other"}
-		req.call.Key = keys[rng.IntN(len(keys))]
+		req.call.APIKey = keys[rng.IntN(len(keys))]
 	}
 	if route.Kind == "streaming" {
 		sharedBlock := rng.IntN(20)
--- a/plugin/gateway/rig_test.go
+++ b/plugin/gateway/rig_test.go
@@ -42,7 +42,7 @@
 			plain("order", "non_idempotent", 1), plain("twice", "non_idempotent", 2), plain("look", "idempotent", 2),
 		},
 		Services: []standin.Service{{Name: "m", Engine: true}, {Name: "s"}},
-		Callers:  standin.CallerLimits{HeadBytes: 2000, BodyBytes: 100000, HeadTimeoutMs: 300, IdleTimeoutMs: 2000},
+		Callers:  standin.CallerLimits{HeaderBytes: 2000, BodyBytes: 100000, HeaderTimeoutMs: 300, IdleTimeoutMs: 2000},
 	}
 }
 
