--- a/internal/fleetrun/layout.go
+++ b/internal/fleetrun/layout.go
@@ -196,7 +196,7 @@
 	countByKind := map[standin.Kind]int{}
 	for _, s := range l.Specs {
 		t := fleetconfig.Target{Name: s.Name, Address: s.Listen, DataCentre: l.dataCentreAt(countByKind[s.Kind]),
-			WarmCapacity: s.WarmCapacity, ColdCapacity: s.ColdCapacity, ChecksFence: s.ChecksFence}
+			WarmCapacity: s.WarmCapacity, ColdCapacity: s.ColdCapacity, ChecksFence: s.ChecksFencingToken}
 		switch s.Kind {
 		case standin.KindEngine:
 			t.Pool = EnginePool
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -200,11 +200,11 @@
 
 // Order is the body of POST /orders.
 type Order struct {
-	Order   string `json:"order"` // load, role or warm
-	Model   string `json:"model,omitempty"`
-	Version string `json:"version,omitempty"`
-	Role    string `json:"role,omitempty"`
-	Fence   uint64 `json:"fence"` // fencing token
+	Order        string `json:"order"` // load, role or warm
+	Model        string `json:"model,omitempty"`
+	Version      string `json:"version,omitempty"`
+	Role         string `json:"role,omitempty"`
+	FencingToken uint64 `json:"fence"` // fencing token
 }
 
 func (e *engine) serveOrder(ctx *fasthttp.RequestCtx) {
@@ -239,14 +239,14 @@
 // fencing token is refused only with ChecksFence.
 func (e *engine) checkOrder(o Order) bool {
 	e.mu.Lock()
-	stale := o.Fence < e.fencingToken
-	e.fencingToken = max(e.fencingToken, o.Fence)
+	stale := o.FencingToken < e.fencingToken
+	e.fencingToken = max(e.fencingToken, o.FencingToken)
 	e.mu.Unlock()
 	a := e.target.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.counters.Orders++
-	if stale && e.target.spec.ChecksFence {
+	if stale && e.target.spec.ChecksFencingToken {
 		a.counters.StaleRefused++
 		return false
 	}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -23,10 +23,10 @@
 	FaultCut FaultName = "cut"
 	// FaultSlow multiplies the duration of all work by Factor, for MS.
 	FaultSlow FaultName = "slow"
-	// FaultDie restarts the target once After more events (at least one) were
+	// FaultCrash restarts the target once After more events (at least one) were
 	// sent. Each response of a plain service counts as one event, and the
 	// target restarts in the middle of it.
-	FaultDie FaultName = "die"
+	FaultCrash FaultName = "die"
 	// FaultSilentBefore discards the requests that arrive, for MS. Their
 	// connections stay open and silent, also after the fault has ended.
 	FaultSilentBefore FaultName = "silent_before"
@@ -38,10 +38,10 @@
 	FaultRefuse FaultName = "refuse"
 	// FaultReset closes each data connection when it next receives bytes, for MS.
 	FaultReset FaultName = "reset"
-	// FaultLateReports adds DelayMS to the age of load reports, for MS.
-	FaultLateReports FaultName = "late_reports"
+	// FaultReportLag adds DelayMS to the age of load reports, for MS.
+	FaultReportLag FaultName = "late_reports"
 	// FaultClear ends all faults "for MS" except FaultRefuse, and a pending
-	// FaultDie.
+	// FaultCrash.
 	FaultClear FaultName = "clear"
 )
 
@@ -90,9 +90,9 @@
 	switch x.Fault {
 	case FaultSlow:
 		f.factor = max(1, x.Factor)
-	case FaultLateReports:
+	case FaultReportLag:
 		f.reportDelay = time.Duration(x.DelayMS) * time.Millisecond
-	case FaultDie:
+	case FaultCrash:
 		f.crashAfter = max(1, x.After)
 	}
 }
@@ -117,7 +117,7 @@
 func (f *faults) extraReportLag() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.isActiveLocked(FaultLateReports) {
+	if f.isActiveLocked(FaultReportLag) {
 		return f.reportDelay
 	}
 	return 0
@@ -166,7 +166,7 @@
 		t.listener.refuse(outage)
 	case FaultClear:
 		t.faults.clear()
-	case FaultSlow, FaultDie, FaultSilentBefore, FaultSilentAfter, FaultReset, FaultLateReports:
+	case FaultSlow, FaultCrash, FaultSilentBefore, FaultSilentAfter, FaultReset, FaultReportLag:
 		t.faults.set(x)
 	default:
 		return errors.Errorf("unknown fault %q", x.Fault)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -10,9 +10,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ShownChange is a state change of an instance and the wall time from which the list
+// ListedChange is a state change of an instance and the wall time from which the list
 // shows it.
-type ShownChange struct {
+type ListedChange struct {
 	Name   string `json:"name"`
 	State  string `json:"state"`
 	UnixMs int64  `json:"unix_ms"`
@@ -27,7 +27,7 @@
 
 	mu      sync.Mutex
 	current []Instance
-	changes []ShownChange
+	changes []ListedChange
 }
 
 func newPlatform(s Spec) *platform {
@@ -82,7 +82,7 @@
 			p.current = next
 			now := time.Now()
 			p.history.add(now, next)
-			p.changes = append(p.changes, ShownChange{x.Name, x.State, now.Add(p.lag).UnixMilli()})
+			p.changes = append(p.changes, ListedChange{x.Name, x.State, now.Add(p.lag).UnixMilli()})
 			return true
 		}
 	}
@@ -90,10 +90,10 @@
 }
 
 // visibleChanges returns the changes that GET /instances shows at now.
-func (p *platform) visibleChanges(now time.Time) []ShownChange {
+func (p *platform) visibleChanges(now time.Time) []ListedChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []ShownChange
+	var out []ListedChange
 	for _, c := range p.changes {
 		if c.UnixMs <= now.UnixMilli() {
 			out = append(out, c)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -8,15 +8,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// CallRequest holds the fields of a request body that a plain service reads, if the body
+// ServiceRequest holds the fields of a request body that a plain service reads, if the body
 // is JSON.
-type CallRequest struct {
+type ServiceRequest struct {
 	// User is the request tag under which GET /runs counts the request.
 	User string `json:"user"`
 	// WorkMs is the service time in ms; 0 = the ServiceMs of the target.
 	WorkMs int `json:"work_ms"`
-	// AnswerBytes is the minimum size of the response in bytes; 0 = one token.
-	AnswerBytes int `json:"answer_bytes"`
+	// ResponseBytes is the minimum size of the response in bytes; 0 = one token.
+	ResponseBytes int `json:"answer_bytes"`
 }
 
 const maxResponseBytes = 16 << 20
@@ -24,7 +24,7 @@
 // serveCall handles a request to any path of a plain service.
 func (t *target) serveCall(ctx *fasthttp.RequestCtx) {
 	body := append([]byte(nil), ctx.PostBody()...)
-	var r CallRequest
+	var r ServiceRequest
 	_ = json.Unmarshal(body, &r) // the body may have any other format
 	w := t.startWork(ctx, r.User, false)
 	if w == nil {
@@ -38,7 +38,7 @@
 		abort(ctx)
 		return
 	}
-	t.respondToCall(ctx, w, ServiceBody(body, min(r.AnswerBytes, maxResponseBytes)))
+	t.respondToCall(ctx, w, ServiceBody(body, min(r.ResponseBytes, maxResponseBytes)))
 }
 
 // respondToCall sends the response, or the first half of it if a crash is due.
--- a/internal/standin/spec.go
+++ b/internal/standin/spec.go
@@ -58,8 +58,8 @@
 	// CacheGap drops every n-th prompt cache event; 0 = 7, and less than 2
 	// means 2.
 	CacheGap int `json:"cache_gap,omitempty"`
-	// ChecksFence makes an engine refuse orders with a stale fencing token.
-	ChecksFence bool `json:"checks_fence,omitempty"`
+	// ChecksFencingToken makes an engine refuse orders with a stale fencing token.
+	ChecksFencingToken bool `json:"checks_fence,omitempty"`
 	// NoResume makes an engine refuse resumed streams.
 	NoResume bool `json:"no_resume,omitempty"`
 	// HideState omits the X-Target-State and X-Target-Boot headers and GET /load.
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -113,7 +113,7 @@
 	plain := strings.Replace(body, `"stream":true`, `"stream":false`, 1)
 	got, _, err = f.postAndRead("/v1/completions", plain)
 	f.is.NoErr(err)
-	f.is.Equal(string(got), string(WholeBody([]byte(plain), 20)))
+	f.is.Equal(string(got), string(UnstreamedBody([]byte(plain), 20)))
 	s := f.stats()
 	f.is.Equal([]uint64{s.Starts, s.Completed, s.Resumed, s.Breaches}, []uint64{3, 3, 1, 0})
 	f.is.Equal(len(s.StartsMs), 2) // a resumed stream has no start time
@@ -189,7 +189,7 @@
 		checks bool
 		want   int
 	}{{true, 409}, {false, 200}} {
-		f := startStandin(t, Spec{Kind: KindEngine, ChecksFence: c.checks})
+		f := startStandin(t, Spec{Kind: KindEngine, ChecksFencingToken: c.checks})
 		_, r, err := f.postAndRead("/orders", `{"order":"role","fence":5}`)
 		f.is.NoErr(err)
 		f.is.Equal(r.StatusCode, 200)
@@ -226,8 +226,8 @@
 		fault Fault
 		kind  Kind
 	}{
-		{"crash during a stream", Fault{Fault: FaultDie, After: 3}, KindEngine},
-		{"crash during a call", Fault{Fault: FaultDie}, KindService},
+		{"crash during a stream", Fault{Fault: FaultCrash, After: 3}, KindEngine},
+		{"crash during a call", Fault{Fault: FaultCrash}, KindService},
 		{"silent before", Fault{Fault: FaultSilentBefore}, KindEngine},
 		{"silent after", Fault{Fault: FaultSilentAfter}, KindService},
 		{"reset", Fault{Fault: FaultReset}, KindEngine},
@@ -292,7 +292,7 @@
 	f.is.NoErr(err)
 	f.is.Equal(r.StatusCode, 204)
 	f.eventually("the list shows the change", func() bool { return state() == "leaving" })
-	f.is.Equal(len(f.stats().Shown), 1)
+	f.is.Equal(len(f.stats().ListedChanges), 1)
 
 	w := startStandin(t, Spec{Kind: KindWeights, WeightsPerSecond: 0.001, WeightsBurst: 1})
 	for _, want := range []int{200, 429} {
--- a/internal/standin/stats.go
+++ b/internal/standin/stats.go
@@ -22,8 +22,8 @@
 	StartsMs []int64 `json:"starts_ms,omitempty"`
 	// Weights counts the downloads of a weight store.
 	Weights *WeightStats `json:"weights,omitempty"`
-	// Shown lists the state changes that a platform's list shows by now.
-	Shown []ShownChange `json:"shown,omitempty"`
+	// ListedChanges lists the state changes that a platform's list shows by now.
+	ListedChanges []ListedChange `json:"shown,omitempty"`
 }
 
 // stats returns a snapshot of the counters, with StartsMs only on request.
@@ -46,7 +46,7 @@
 		s.Weights = &w
 	}
 	if t.platform != nil {
-		s.Shown = t.platform.visibleChanges(now)
+		s.ListedChanges = t.platform.visibleChanges(now)
 	}
 	return s
 }
--- a/internal/standin/tokens.go
+++ b/internal/standin/tokens.go
@@ -59,8 +59,8 @@
 	return b
 }
 
-// WholeBody returns the unstreamed response of n tokens to a request body.
-func WholeBody(body []byte, n int) []byte {
+// UnstreamedBody returns the unstreamed response of n tokens to a request body.
+func UnstreamedBody(body []byte, n int) []byte {
 	return unstreamedFromSeed(Seed(body), PromptTokens(body), n)
 }
 
