--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -105,8 +105,8 @@
 // Delay delays the bytes read from now on by d, in both directions.
 func (r *Relay) Delay(d time.Duration) { r.update(func() { r.delay = d }) }
 
-// Opened returns the number of connections accepted so far.
-func (r *Relay) Opened() int {
+// Accepted returns the number of connections accepted so far.
+func (r *Relay) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -68,5 +68,5 @@
 	third := dial()
 	defer third.Close()
 	is.True(echoes(third, long))
-	is.Equal(r.Opened(), 3)
+	is.Equal(r.Accepted(), 3)
 }
