--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	vote, b, err := readString(b)
-	st.Hard = consensus.HardState{Term: term, Vote: vote}
+	st.HardState = consensus.HardState{Term: term, Vote: vote}
 	return b, err
 }
 
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -33,10 +33,10 @@
 type State struct {
 	// Identity is the random identity of the replica, generated with the log file. A
 	// replica whose disk was lost gets a new one.
-	Identity string
-	Hard     consensus.HardState // last saved term and vote
-	Snapshot consensus.Snapshot  // zero if none
-	Entries  []consensus.Entry   // after the snapshot
+	Identity  string
+	HardState consensus.HardState // last saved term and vote
+	Snapshot  consensus.Snapshot  // zero if none
+	Entries   []consensus.Entry   // after the snapshot
 	// TornBytes is the length of the truncated torn tail, in bytes.
 	TornBytes int
 }
@@ -124,7 +124,7 @@
 	}
 	if len(st.Entries) < loaded {
 		// The process ended after it stored a snapshot and before it truncated the log.
-		return st, l.rewrite(batchBody(&st.Hard, st.Entries))
+		return st, l.rewrite(batchBody(&st.HardState, st.Entries))
 	}
 	return st, l.openForAppend(end)
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -54,17 +54,17 @@
 	is.NoErr(l.Save(nil, nil))
 	l, st = reopen(t, l)
 	is.Equal(st.Identity, id)
-	is.Equal(st.Hard, consensus.HardState{Term: 3, Vote: "v"})
+	is.Equal(st.HardState, consensus.HardState{Term: 3, Vote: "v"})
 	is.Equal(st.Entries, append(entries(1, 3, 2), entries(4, 8, 3)...))
 
 	snap := consensus.Snapshot{Index: 6, Term: 3, Members: members, Data: []byte("state")}
-	is.NoErr(l.SaveSnapshot(snap, st.Hard, entries(7, 8, 3)))
+	is.NoErr(l.SaveSnapshot(snap, st.HardState, entries(7, 8, 3)))
 	is.NoErr(l.Save(nil, entries(9, 9, 3)))
 	l, st = reopen(t, l)
 	is.Equal(st.Identity, id)
 	is.Equal(st.Snapshot, snap)
 	is.Equal(st.Entries, entries(7, 9, 3))
-	is.Equal(st.Hard.Vote, "v")
+	is.Equal(st.HardState.Vote, "v")
 	_ = l.Close()
 	is.True(l.Save(nil, entries(10, 10, 3)) != nil) // a closed log refuses writes
 }
@@ -118,7 +118,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		is.Equal(st.Entries, entries(1, 20, 1)) // only the synced entries
-		is.Equal(st.Hard.Term, uint64(1))
+		is.Equal(st.HardState.Term, uint64(1))
 		is.Equal(st.TornBytes, len(raw)-len(before))
 		is.NoErr(reopened.Save(nil, entries(21, 22, 3)))
 		reopened, st = reopen(t, reopened)
@@ -220,7 +220,7 @@
 			is.NoErr(os.WriteFile(filepath.Join(l.dir, snapshotName+tempSuffix), []byte("half"), 0o600))
 			l, st := reopen(t, l)
 			is.Equal(len(st.Entries), len(tc.want))
-			is.Equal(st.Hard.Term, uint64(2))
+			is.Equal(st.HardState.Term, uint64(2))
 			next := max(tc.snap.Index, 5)
 			if len(tc.want) == 0 {
 				next = tc.snap.Index
@@ -288,10 +288,10 @@
 	switch rapid.IntRange(0, 4).Draw(t, "action") {
 	case 0, 1:
 		from := last + 1 - rapid.Uint64Range(0, uint64(len(want.Entries))).Draw(t, "replaced")
-		want.Hard.Term++
-		add := entries(from, from+rapid.Uint64Range(0, 5).Draw(t, "added"), want.Hard.Term)
+		want.HardState.Term++
+		add := entries(from, from+rapid.Uint64Range(0, 5).Draw(t, "added"), want.HardState.Term)
 		want.Entries = append(want.Entries[:from-want.Snapshot.Index-1:from-want.Snapshot.Index-1], add...)
-		return l, l.Save(&want.Hard, add)
+		return l, l.Save(&want.HardState, add)
 	case 2:
 		cut := rapid.IntRange(0, len(want.Entries)).Draw(t, "cut")
 		if cut > 0 {
@@ -299,7 +299,7 @@
 			want.Snapshot = consensus.Snapshot{Index: e.Index, Term: e.Term, Members: members, Data: e.Data}
 			want.Entries = want.Entries[cut:]
 		}
-		return l, l.SaveSnapshot(want.Snapshot, want.Hard, want.Entries)
+		return l, l.SaveSnapshot(want.Snapshot, want.HardState, want.Entries)
 	case 3: // the process ends during the write of a frame
 		frame := appendFrame(nil, l.nextFrame, batchBody(nil, entries(last+1, last+3, 99)))
 		_, err := l.file.Write(frame[:rapid.IntRange(0, len(frame)-1).Draw(t, "written")])
--- a/plugin/control/replica.go
+++ b/plugin/control/replica.go
@@ -113,7 +113,7 @@
 	}
 	r.log, r.state, r.id, r.diskFailed = log, state, st.Identity, false
 	r.applied, r.bytesSinceSnapshot, r.lastSnapshotBytes = st.Snapshot.Index, 0, len(st.Snapshot.Data)
-	r.node = consensus.New(r.nodeConfig(), st.Hard, st.Snapshot, st.Entries)
+	r.node = consensus.New(r.nodeConfig(), st.HardState, st.Snapshot, st.Entries)
 	r.installView()
 	r.publishStatus()
 	return nil
