--- a/cmd/nutmegbench/bench.go
+++ b/cmd/nutmegbench/bench.go
@@ -159,7 +159,7 @@
 
 // shortCalls returns idempotent plain calls with a fixed service time in ms.
 func shortCalls(ms int) []loadgen.Kind {
-	return []loadgen.Kind{{Name: "plain", Share: 1, Class: "label", Pool: fleetrun.ServicePool, Least: ms, Most: ms, BodyBytes: 100}}
+	return []loadgen.Kind{{Name: "plain", Share: 1, Class: "label", Pool: fleetrun.ServicePool, MinSize: ms, MaxSize: ms, BodyBytes: 100}}
 }
 
 // idempotentServices marks the pools of plain services as idempotent.
--- a/cmd/nutmegbench/demo.go
+++ b/cmd/nutmegbench/demo.go
@@ -146,7 +146,7 @@
 			case <-tick.C:
 				p := r.Progress()
 				fmt.Printf("%5.0f s  sent %6d  whole %6d  refused %4d  unknown %d  lost %d  under way %d\n", p.Elapsed.Seconds(),
-					p.Sent, p.By[loadgen.Whole], p.By[loadgen.Refused], p.By[loadgen.Unknown], p.By[loadgen.Broken]+p.By[loadgen.Lost]+p.By[loadgen.Wrong], p.Sent-p.Ended)
+					p.Sent, p.ByVerdict[loadgen.Whole], p.ByVerdict[loadgen.Refused], p.ByVerdict[loadgen.Unknown], p.ByVerdict[loadgen.Broken]+p.ByVerdict[loadgen.Lost]+p.ByVerdict[loadgen.Wrong], p.Sent-p.Ended)
 			}
 		}
 	}()
--- a/cmd/nutmegbench/killphase.go
+++ b/cmd/nutmegbench/killphase.go
@@ -64,7 +64,7 @@
 	if k.err != nil {
 		return k.err
 	}
-	longest, starts := k.after.LongestPause(addresses, k.killedAt, k.killedAt.Add(window))
+	longest, starts := k.after.LongestStartGap(addresses, k.killedAt, k.killedAt.Add(window))
 	b.report(starts > 0 && longest <= boundTakeover, "longest time without new work after the kill: %v (bound %v)", longest, boundTakeover)
 	u := k.after.Utilisation(standin.KindEngine, k.before)
 	b.report(u >= boundUtilisationAtKill, "utilisation of engine slots over %v from the kill: %.1f%% (bound %.0f%%)", window, 100*u, 100*boundUtilisationAtKill)
--- a/cmd/nutmegbench/movephase.go
+++ b/cmd/nutmegbench/movephase.go
@@ -69,7 +69,7 @@
 			if rec.Job.At >= from && rec.Job.At < to {
 				offered++
 			}
-			if rec.Verdict == loadgen.Whole && rec.Ended >= from && rec.Ended < to {
+			if rec.Verdict == loadgen.Whole && rec.EndedAfter >= from && rec.EndedAfter < to {
 				whole++
 			}
 		}
--- a/cmd/nutmegbench/phases.go
+++ b/cmd/nutmegbench/phases.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	added := func(q float64) float64 {
-		return float64(routed.Took["plain"].ValueAtQuantile(q)-direct.Took["plain"].ValueAtQuantile(q)) / 1000
+		return float64(routed.Latency["plain"].ValueAtQuantile(q)-direct.Latency["plain"].ValueAtQuantile(q)) / 1000
 	}
 	fmt.Fprintf(b.tables, "50 calls/s of 5 ms: through nutmegrouter %d whole of %d, direct %d of %d\n",
 		routed.Total.Whole, routed.Total.Sent, direct.Total.Whole, direct.Total.Sent)
@@ -81,13 +81,13 @@
 		}
 		completed := 0
 		for i := range r.Records {
-			if rec := &r.Records[i]; rec.Verdict == loadgen.Whole && !rec.Skipped && rec.Ended <= p.Duration {
+			if rec := &r.Records[i]; rec.Verdict == loadgen.Whole && !rec.Skipped && rec.EndedAfter <= p.Duration {
 				completed++
 			}
 		}
 		rate := float64(completed) / p.Duration.Seconds()
 		offered := float64(len(r.Records)) / p.Duration.Seconds()
-		h := rep.Took["plain"]
+		h := rep.Latency["plain"]
 		text := fmt.Sprintf("%s: offered %.0f/s, whole before the end %.0f/s, p50 %.1f ms, p99 %.1f ms, refused %d, lost %d, skipped %d", c.name, offered, rate,
 			float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, rep.Total.Refused, rep.Total.Lost, rep.Total.Skipped)
 		// The number of Poisson arrivals deviates from the rate by up to one per cent.
@@ -155,7 +155,7 @@
 // in every sample from fillTime to the end of the arrivals.
 func backloggedWorkspaces(r *loadgen.Run) (out []int) {
 	for w := range r.Plan.Workspaces {
-		if slices.Min(r.Waiting(w, fillTime, r.Plan.Duration, waitingInterval)) > 0 {
+		if slices.Min(r.Backlog(w, fillTime, r.Plan.Duration, waitingInterval)) > 0 {
 			out = append(out, w)
 		}
 	}
@@ -181,7 +181,7 @@
 	end := int(r.Plan.Duration / time.Second) // later responses only drain the queues
 	first := int(fillTime / time.Second)
 	series.Values = series.Values[first:min(end, len(series.Values))]
-	gap, smallest := series.Gap(workspaces, weight)
+	gap, smallest := series.ServiceGap(workspaces, weight)
 	fmt.Fprintf(b.tables, "gap of service per weight between %d backlogged workspaces since %v:\n  s    gap  lowest  gap/lowest\n", len(workspaces), fillTime)
 	for i := 4; i < len(gap); i += 5 {
 		fmt.Fprintf(b.tables, "%3d %6.0f %7.0f %7.1f%%\n", i+1, gap[i], smallest[i], 100*gap[i]/max(1, smallest[i]))
--- a/internal/loadgen/check.go
+++ b/internal/loadgen/check.go
@@ -102,10 +102,10 @@
 	return n
 }
 
-// LongestPause returns the longest interval without a start of work at any of the
+// LongestStartGap returns the longest interval without a start of work at any of the
 // addresses, and the number of starts, between two times. Intervals begin at from
 // or at a start and end at a start; the time after the last start does not count.
-func (e *Evidence) LongestPause(addresses []string, from, to time.Time) (time.Duration, int) {
+func (e *Evidence) LongestStartGap(addresses []string, from, to time.Time) (time.Duration, int) {
 	times := []int64{from.UnixMilli()}
 	for _, addr := range addresses {
 		for _, ms := range e.Stats[addr].StartsMs {
--- a/internal/loadgen/fair.go
+++ b/internal/loadgen/fair.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// MaxMin returns the weighted max-min fair shares of a total, by participant. No
+// MaxMinFairShares returns the weighted max-min fair shares of a total, by participant. No
 // share exceeds its demand; what a participant does not use is divided among the
 // others in proportion to their weights. All values have the unit of the total.
-func MaxMin(total float64, demand, weight []float64) []float64 {
+func MaxMinFairShares(total float64, demand, weight []float64) []float64 {
 	allocation := make([]float64, len(demand))
 	satisfied := make([]bool, len(demand))
 	for remaining := total; remaining > 0; {
@@ -55,10 +55,10 @@
 	for i, r := range rep.Rows {
 		demand[i], weight[i] = r.Offered[pool], p.Workspaces[i].Weight
 	}
-	fair := MaxMin(totals[pool], demand, weight)
+	fair := MaxMinFairShares(totals[pool], demand, weight)
 	for i := range rep.Rows {
 		if t := totals[pool]; t > 0 {
-			rep.Rows[i].Share, rep.Rows[i].Fair = rep.Rows[i].Service[pool]/t, fair[i]/t
+			rep.Rows[i].ServiceShare, rep.Rows[i].FairShare = rep.Rows[i].Service[pool]/t, fair[i]/t
 		}
 	}
 }
@@ -86,7 +86,7 @@
 		if rec.Skipped || rec.Verdict != Whole || (pool != "" && rec.Job.Kind.Pool != pool) {
 			continue
 		}
-		index := int(rec.Ended / step)
+		index := int(rec.EndedAfter / step)
 		for len(s.Values) <= index {
 			s.Values = append(s.Values, make([]float64, len(r.Plan.Workspaces)))
 		}
@@ -99,11 +99,11 @@
 	return s
 }
 
-// Gap returns two values for each step, both of the service per weight that the
+// EventGap returns two values for each step, both of the service per weight that the
 // workspaces with the given indices received from the start of the run to the end
 // of the step: the difference between the largest and the smallest, and the
 // smallest. weight has an entry for every workspace of the series.
-func (s Series) Gap(workspaces []int, weight []float64) (gap, smallest []float64) {
+func (s Series) ServiceGap(workspaces []int, weight []float64) (gap, smallest []float64) {
 	service := make([]float64, len(weight))
 	for _, step := range s.Values {
 		for w, v := range step {
@@ -118,10 +118,10 @@
 	return gap, smallest
 }
 
-// Waiting returns the backlog of a workspace, sampled once per step between two
+// Backlog returns the backlog of a workspace, sampled once per step between two
 // times since the start of the run: the number of requests that had arrived but
 // not received their first byte. Only requests with a whole response count.
-func (r *Run) Waiting(workspace int, from, to, step time.Duration) []int {
+func (r *Run) Backlog(workspace int, from, to, step time.Duration) []int {
 	waiting := make([]int, (to-from)/step)
 	for i := range r.Records {
 		rec := &r.Records[i]
@@ -129,7 +129,7 @@
 			continue
 		}
 		for n := max(0, (rec.Job.At-from+step-1)/step); n < time.Duration(len(waiting)); n++ {
-			if from+n*step >= rec.Job.At+rec.FirstToken {
+			if from+n*step >= rec.Job.At+rec.FirstByteLatency {
 				break
 			}
 			waiting[n]++
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -56,7 +56,7 @@
 	rep := r.Report(ev)
 	is.Equal(rep.Total.Whole, rep.Total.Sent)
 	is.True(rep.Clean())
-	is.True(rep.First["long"].TotalCount() > 0 && rep.Gap["long"].TotalCount() > 0)
+	is.True(rep.FirstByte["long"].TotalCount() > 0 && rep.EventGap["long"].TotalCount() > 0)
 
 	// The same requests again: each keyed call has now run twice.
 	r = New(p)
@@ -83,9 +83,9 @@
 // share.
 func TestMaxMin(t *testing.T) {
 	is := is.New(t)
-	is.Equal(MaxMin(90, []float64{10, 100, 100}, []float64{1, 1, 1}), []float64{10, 40, 40})
-	is.Equal(MaxMin(90, []float64{100, 100}, []float64{2, 1}), []float64{60, 30})
-	is.Equal(MaxMin(90, []float64{10, 20}, []float64{1, 1}), []float64{10, 20})
+	is.Equal(MaxMinFairShares(90, []float64{10, 100, 100}, []float64{1, 1, 1}), []float64{10, 40, 40})
+	is.Equal(MaxMinFairShares(90, []float64{100, 100}, []float64{2, 1}), []float64{60, 30})
+	is.Equal(MaxMinFairShares(90, []float64{10, 20}, []float64{1, 1}), []float64{10, 20})
 }
 
 // Guards against a load balancer that selects an entry that is not ready, or
@@ -114,8 +114,8 @@
 func TestWaiting(t *testing.T) {
 	is := is.New(t)
 	r := &Run{Records: []Record{
-		{Job: &Job{At: 2 * time.Second}, FirstToken: 2 * time.Second},
-		{Job: &Job{At: 3 * time.Second, Workspace: 1}, FirstToken: time.Minute},
+		{Job: &Job{At: 2 * time.Second}, FirstByteLatency: 2 * time.Second},
+		{Job: &Job{At: 3 * time.Second, Workspace: 1}, FirstByteLatency: time.Minute},
 	}}
-	is.Equal(r.Waiting(0, time.Second, 6*time.Second, time.Second), []int{0, 1, 1, 0, 0})
+	is.Equal(r.Backlog(0, time.Second, 6*time.Second, time.Second), []int{0, 1, 1, 0, 0})
 }
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -16,9 +16,9 @@
 	Pool  string
 	// Model is set for engine pools only. Least and Most bound the size of a
 	// request, both inclusive: response tokens for engines, else service time in ms.
-	Model       string
-	Least, Most int
-	BodyBytes   int // bytes of padding in the request body
+	Model            string
+	MinSize, MaxSize int
+	BodyBytes        int // bytes of padding in the request body
 	// Keyed requests are marked as non-idempotent and carry an idempotency key.
 	Keyed bool
 }
@@ -114,7 +114,7 @@
 		}
 		k := &p.Kinds[pickWeighted(rng, kindShares)]
 		j := Job{At: time.Duration(at * float64(time.Second)), Workspace: pickWeighted(rng, workspaceShares), Entry: pickWeighted(rng, entryShares),
-			Kind: k, Size: k.Least + rng.IntN(k.Most-k.Least+1)}
+			Kind: k, Size: k.MinSize + rng.IntN(k.MaxSize-k.MinSize+1)}
 		j.Hint = float64(j.Size) * math.Pow(hintErrorFactor, 2*rng.Float64()-1)
 		j.Tag = fmt.Sprintf("%s/%d-%d", p.Workspaces[j.Workspace].Name, p.Seed, len(out))
 		out = append(out, j)
@@ -163,9 +163,9 @@
 // non-idempotent calls with idempotency keys for a service pool.
 func StandardKinds(enginePool, model, servicePool string) []Kind {
 	return []Kind{
-		{Name: "long", Share: 10, Class: "long", Pool: enginePool, Model: model, Least: 80, Most: 200, BodyBytes: 2000},
-		{Name: "quick", Share: 30, Class: "quick", Pool: enginePool, Model: model, Least: 10, Most: 30, BodyBytes: 500},
-		{Name: "label", Share: 40, Class: "label", Pool: enginePool, Model: model, Least: 2, Most: 5, BodyBytes: 100},
-		{Name: "call", Share: 20, Pool: servicePool, Least: 5, Most: 20, BodyBytes: 100, Keyed: true},
+		{Name: "long", Share: 10, Class: "long", Pool: enginePool, Model: model, MinSize: 80, MaxSize: 200, BodyBytes: 2000},
+		{Name: "quick", Share: 30, Class: "quick", Pool: enginePool, Model: model, MinSize: 10, MaxSize: 30, BodyBytes: 500},
+		{Name: "label", Share: 40, Class: "label", Pool: enginePool, Model: model, MinSize: 2, MaxSize: 5, BodyBytes: 100},
+		{Name: "call", Share: 20, Pool: servicePool, MinSize: 5, MaxSize: 20, BodyBytes: 100, Keyed: true},
 	}
 }
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -31,19 +31,19 @@
 	// Service is the cost of whole responses by pool, Offered that of all sent
 	// requests, both in cost units (see Job.Cost).
 	Service, Offered map[string]float64
-	// Share is the fraction of the service in the pool with the most service that
+	// ServiceShare is the fraction of the service in the pool with the most service that
 	// this workspace received; Fair is its max-min fair share as a fraction.
-	Share, Fair float64
+	ServiceShare, FairShare float64
 }
 
 // Report is the evaluation of a run.
 type Report struct {
 	Rows  []Row // by workspace index
 	Total Row
-	// First, Gap and Took are histograms in µs by kind of request, for whole
+	// FirstByte, Gap and Took are histograms in µs by kind of request, for whole
 	// responses: the time from the planned arrival to the first byte, the time
 	// between two events, and the time from the planned arrival to the end.
-	First, Gap, Took map[string]*hdrhistogram.Histogram
+	FirstByte, EventGap, Latency map[string]*hdrhistogram.Histogram
 	// Codes counts requests without a whole response by error text.
 	Codes map[string]int
 }
@@ -71,8 +71,8 @@
 // Report evaluates the run. Evidence may be nil; doubled and falsely refused
 // requests are then not counted.
 func (r *Run) Report(ev *Evidence) *Report {
-	rep := &Report{First: map[string]*hdrhistogram.Histogram{}, Gap: map[string]*hdrhistogram.Histogram{},
-		Took: map[string]*hdrhistogram.Histogram{}, Codes: map[string]int{}}
+	rep := &Report{FirstByte: map[string]*hdrhistogram.Histogram{}, EventGap: map[string]*hdrhistogram.Histogram{},
+		Latency: map[string]*hdrhistogram.Histogram{}, Codes: map[string]int{}}
 	for _, w := range r.Plan.Workspaces {
 		rep.Rows = append(rep.Rows, Row{Workspace: w.Name, Service: map[string]float64{}, Offered: map[string]float64{}})
 	}
@@ -135,25 +135,25 @@
 	row.Wrong += o.Wrong
 	row.Doubled += o.Doubled
 	row.Skipped += o.Skipped
-	row.Share += o.Share
-	row.Fair += o.Fair
+	row.ServiceShare += o.ServiceShare
+	row.FairShare += o.FairShare
 }
 
 // addLatencies adds a sent request to the histograms or, without a whole response,
 // to the error counts.
 func (rep *Report) addLatencies(rec *Record) {
 	name := rec.Job.Kind.Name
-	if rep.First[name] == nil {
-		rep.First[name], rep.Gap[name], rep.Took[name] = newHist(), newHist(), newHist()
+	if rep.FirstByte[name] == nil {
+		rep.FirstByte[name], rep.EventGap[name], rep.Latency[name] = newHist(), newHist(), newHist()
 	}
 	if rec.Verdict != Whole {
 		rep.Codes[rec.Code[:min(len(rec.Code), maxCodeBytes)]]++
 		return
 	}
-	recordDuration(rep.First[name], rec.FirstToken)
-	recordDuration(rep.Took[name], rec.Took)
+	recordDuration(rep.FirstByte[name], rec.FirstByteLatency)
+	recordDuration(rep.Latency[name], rec.Latency)
 	for _, g := range rec.gaps {
-		recordDuration(rep.Gap[name], g)
+		recordDuration(rep.EventGap[name], g)
 	}
 }
 
@@ -175,16 +175,16 @@
 	fmt.Fprintln(tw, "workspace\tsent\twhole\trefused\tfalse\tunknown\tbroken\tlost\twrong\tdoubled\tskipped\tshare\tfair\t")
 	for _, r := range append(append([]Row(nil), rep.Rows...), rep.Total) {
 		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f%%\t%.1f%%\t\n", r.Workspace, r.Sent, r.Whole, r.Refused,
-			r.FalselyRefused, r.Unknown, r.Broken, r.Lost, r.Wrong, r.Doubled, r.Skipped, 100*r.Share, 100*r.Fair)
+			r.FalselyRefused, r.Unknown, r.Broken, r.Lost, r.Wrong, r.Doubled, r.Skipped, 100*r.ServiceShare, 100*r.FairShare)
 	}
 	_ = tw.Flush()
 	fmt.Fprintln(w)
 	tw = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "ms\tcount\tp50\tp95\tp99\tmax\t")
-	for _, k := range sortedKeys(rep.First) {
-		writeHist(tw, k+" first byte", rep.First[k])
-		writeHist(tw, k+" token gap", rep.Gap[k])
-		writeHist(tw, k+" whole", rep.Took[k])
+	for _, k := range sortedKeys(rep.FirstByte) {
+		writeHist(tw, k+" first byte", rep.FirstByte[k])
+		writeHist(tw, k+" token gap", rep.EventGap[k])
+		writeHist(tw, k+" whole", rep.Latency[k])
 	}
 	_ = tw.Flush()
 	for _, c := range sortedKeys(rep.Codes) {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -18,19 +18,19 @@
 	AllNotRun bool
 	// Skipped reports that the generator did not send the job, because too many
 	// were in flight or the run was cancelled.
-	Skipped    bool
-	FirstToken time.Duration // from the planned arrival to the first byte; 0 = none
-	Ended      time.Duration // from the start of the run to the end of the job
-	Took       time.Duration // from the planned arrival to the end of the job
-	gaps       []time.Duration
+	Skipped          bool
+	FirstByteLatency time.Duration // from the planned arrival to the first byte; 0 = none
+	EndedAfter       time.Duration // from the start of the run to the end of the job
+	Latency          time.Duration // from the planned arrival to the end of the job
+	gaps             []time.Duration
 }
 
 // Progress holds the counts of a run so far.
 type Progress struct {
-	Elapsed time.Duration
-	Sent    int64            // jobs started, without skipped ones
-	Ended   int64            // jobs with a final outcome
-	By      [Wrong + 1]int64 // ended jobs by verdict
+	Elapsed   time.Duration
+	Sent      int64            // jobs started, without skipped ones
+	Ended     int64            // jobs with a final outcome
+	ByVerdict [Wrong + 1]int64 // ended jobs by verdict
 }
 
 // Run executes a plan and holds its result.
@@ -61,7 +61,7 @@
 		p.Elapsed = time.Since(r.Start)
 	}
 	for i := range r.byVerdict {
-		p.By[i] = r.byVerdict[i].Load()
+		p.ByVerdict[i] = r.byVerdict[i].Load()
 	}
 	return p
 }
@@ -151,9 +151,9 @@
 	if a.notSent {
 		rec.Verdict = Refused // no instance accepted the connection, so the request did not run
 	}
-	rec.Took, rec.Ended = time.Since(planned), time.Since(r.Start)
+	rec.Latency, rec.EndedAfter = time.Since(planned), time.Since(r.Start)
 	if !a.firstByte.IsZero() {
-		rec.FirstToken = a.firstByte.Sub(planned)
+		rec.FirstByteLatency = a.firstByte.Sub(planned)
 	}
 	r.byVerdict[rec.Verdict].Add(1)
 	r.ended.Add(1)
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -244,7 +244,7 @@
 	if err != nil {
 		return err
 	}
-	longest, count := evidence.LongestPause(h.fleet.TargetAddresses(args[0], ""), from, time.Now())
+	longest, count := evidence.LongestStartGap(h.fleet.TargetAddresses(args[0], ""), from, time.Now())
 	ts.Logf("longest time without new work: %v", longest)
 	return checkEqual(nil, "work started, with gaps within "+limit.String(), fmt.Sprint(count > 0 && longest <= limit), "true")
 }
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -21,7 +21,7 @@
 // parseKinds returns the kinds of requests with the given names, separated by commas.
 func parseKinds(names string) ([]loadgen.Kind, error) {
 	available := append(loadgen.StandardKinds(fleetrun.EnginePool, fleetrun.Model, fleetrun.ServicePool),
-		loadgen.Kind{Name: "stream", Share: 10, Class: "long", Pool: fleetrun.EnginePool, Model: fleetrun.Model, Least: 300, Most: 500})
+		loadgen.Kind{Name: "stream", Share: 10, Class: "long", Pool: fleetrun.EnginePool, Model: fleetrun.Model, MinSize: 300, MaxSize: 500})
 	var out []loadgen.Kind
 	for _, name := range strings.Split(names, ",") {
 		i := slices.IndexFunc(available, func(k loadgen.Kind) bool { return k.Name == name })
