--- a/cmd/nutmegbench/demo.go
+++ b/cmd/nutmegbench/demo.go
@@ -68,12 +68,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.Up(ctx); err != nil {
+	if err := f.StartAll(ctx); err != nil {
 		f.Close()
 		return nil, errors.WithMessagef(err, "logs are in %s", filepath.Join(opt.Dir, "logs"))
 	}
 	fmt.Printf("%d instances in %d data centres, %d targets, %d workspaces: ready in %.1f s\n",
-		len(f.Routers), len(f.DataCentres), len(f.Config.Targets), len(f.Workspaces), time.Since(begin).Seconds())
+		len(f.InstanceList), len(f.DataCentres), len(f.Config.Targets), len(f.Workspaces), time.Since(begin).Seconds())
 	return f, nil
 }
 
--- a/cmd/nutmegbench/killphase.go
+++ b/cmd/nutmegbench/killphase.go
@@ -34,9 +34,9 @@
 // otherKilled kills an instance that does not own the engines' pool.
 func otherKilled(ctx context.Context, b *benchRun) error {
 	return b.measureKill(ctx, "router", otherKillWindow, func(f *fleetrun.Fleet, owner string) string {
-		for i := len(f.Routers) - 1; i >= 0; i-- {
-			if f.Routers[i].Instance != owner {
-				return f.Routers[i].Instance
+		for i := len(f.InstanceList) - 1; i >= 0; i-- {
+			if f.InstanceList[i].Instance != owner {
+				return f.InstanceList[i].Instance
 			}
 		}
 		return owner
--- a/internal/fleetrun/fleet.go
+++ b/internal/fleetrun/fleet.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	lastAddress := f.Specs[len(f.Specs)-1].Listen
+	lastAddress := f.StandinSpecs[len(f.StandinSpecs)-1].Listen
 	return f.poll(ctx, "stand-ins listen", func() error {
 		c, err := net.DialTimeout("tcp", lastAddress, probeTimeout)
 		if err == nil {
@@ -75,7 +75,7 @@
 // them to be ready. It fails if one is unknown or already running.
 func (f *Fleet) Start(names ...string) error {
 	for _, name := range f.namesOrAll(names) {
-		r, err := f.Router(name)
+		r, err := f.Instance(name)
 		if err != nil {
 			return err
 		}
@@ -94,7 +94,7 @@
 	if len(names) > 0 {
 		return names
 	}
-	for _, r := range f.Routers {
+	for _, r := range f.InstanceList {
 		names = append(names, r.Instance)
 	}
 	return names
@@ -122,11 +122,11 @@
 	return nil
 }
 
-// Freeze suspends the process of an instance with SIGSTOP.
-func (f *Fleet) Freeze(name string) error { return f.Signal(name, syscall.SIGSTOP) }
+// Suspend suspends the process of an instance with SIGSTOP.
+func (f *Fleet) Suspend(name string) error { return f.Signal(name, syscall.SIGSTOP) }
 
-// Thaw resumes a suspended instance with SIGCONT.
-func (f *Fleet) Thaw(name string) error { return f.Signal(name, syscall.SIGCONT) }
+// Resume resumes a suspended instance with SIGCONT.
+func (f *Fleet) Resume(name string) error { return f.Signal(name, syscall.SIGCONT) }
 
 // Stop requests a planned stop of an instance with SIGTERM and waits until it has
 // exited. Another exit code than 0 and a timeout are errors.
@@ -147,10 +147,10 @@
 	return err == nil && p.Running()
 }
 
-// Wipe deletes the data folder of a stopped instance. It fails if the instance is
+// DeleteData deletes the data folder of a stopped instance. It fails if the instance is
 // running or has no data folder.
-func (f *Fleet) Wipe(name string) error {
-	r, err := f.Router(name)
+func (f *Fleet) DeleteData(name string) error {
+	r, err := f.Instance(name)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 func (f *Fleet) WaitReady(ctx context.Context, names ...string) error {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, name := range f.namesOrAll(names) {
-		r, err := f.Router(name)
+		r, err := f.Instance(name)
 		if err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 
 // adminAddresses returns the admin addresses of the running instances.
 func (f *Fleet) adminAddresses() (out []string) {
-	for _, r := range f.Routers {
+	for _, r := range f.InstanceList {
 		if f.Running(r.Instance) {
 			out = append(out, r.Admin)
 		}
@@ -236,9 +236,9 @@
 	return string(out), errors.Wrapf(err, "nutmegctl %s: %s", strings.Join(args, " "), out)
 }
 
-// Up starts the stand-ins and all instances, submits the configuration and waits
+// StartAll starts the stand-ins and all instances, submits the configuration and waits
 // until all instances are ready.
-func (f *Fleet) Up(ctx context.Context) error {
+func (f *Fleet) StartAll(ctx context.Context) error {
 	if err := f.StartStandins(ctx); err != nil {
 		return err
 	}
--- a/internal/fleetrun/fleetrun_test.go
+++ b/internal/fleetrun/fleetrun_test.go
@@ -26,10 +26,10 @@
 	is.NoErr(err)
 	is.Equal(links, 42)
 	meshAddresses := map[string]bool{}
-	for _, r := range l.Routers {
+	for _, r := range l.InstanceList {
 		meshAddresses[r.Mesh] = true
 	}
-	for _, r := range l.Routers {
+	for _, r := range l.InstanceList {
 		s, err := settings.Load(r.File)
 		is.NoErr(err)
 		is.Equal(len(s.Replicas()), 3)
--- a/internal/fleetrun/layout.go
+++ b/internal/fleetrun/layout.go
@@ -62,12 +62,12 @@
 // Layout holds the addresses, settings, stand-ins and configuration of a fleet.
 type Layout struct {
 	Options
-	Routers    []Instance
-	Specs      []standin.Spec // targets, then the platform's instance list and the weight store
-	Config     *fleetconfig.Config
-	Workspaces []Workspace
-	Platform   string // address of the platform's instance list
-	Weights    string // address of the weight store
+	InstanceList []Instance
+	StandinSpecs []standin.Spec // targets, then the platform's instance list and the weight store
+	Config       *fleetconfig.Config
+	Workspaces   []Workspace
+	Platform     string // address of the platform's instance list
+	Weights      string // address of the weight store
 }
 
 // Plan assigns the addresses of a fleet and writes its settings, stand-in and
@@ -109,8 +109,8 @@
 		return err
 	}
 	add := func(s standin.Spec, kind standin.Kind, name string) string {
-		s.Kind, s.Name, s.Listen = kind, name, address(ports[len(l.Specs)])
-		l.Specs = append(l.Specs, s)
+		s.Kind, s.Name, s.Listen = kind, name, address(ports[len(l.StandinSpecs)])
+		l.StandinSpecs = append(l.StandinSpecs, s)
 		return s.Listen
 	}
 	for i := range l.Engines {
@@ -120,7 +120,7 @@
 		add(l.Service, standin.KindService, fmt.Sprintf("service-%02d", i+1))
 	}
 	var listed []standin.Instance
-	for _, s := range l.Specs {
+	for _, s := range l.StandinSpecs {
 		listed = append(listed, standin.Instance{Name: s.Name, Address: s.Listen, State: "live"})
 	}
 	l.Platform = add(standin.Spec{Instances: listed, ReportLagMs: 200}, standin.KindPlatform, "platform")
@@ -140,10 +140,10 @@
 		if i < l.Replicas {
 			s.DataDir = filepath.Join(l.Dir, "data", s.Instance)
 		}
-		l.Routers = append(l.Routers, Instance{Settings: s, File: filepath.Join(l.Dir, s.Instance+".json")})
+		l.InstanceList = append(l.InstanceList, Instance{Settings: s, File: filepath.Join(l.Dir, s.Instance+".json")})
 	}
-	for i := range l.Routers {
-		if l.Routers[i].Peers, err = l.peersOf(l.Routers[i].Instance); err != nil {
+	for i := range l.InstanceList {
+		if l.InstanceList[i].Peers, err = l.peersOf(l.InstanceList[i].Instance); err != nil {
 			return err
 		}
 	}
@@ -154,7 +154,7 @@
 // reaches them.
 func (l *Layout) peersOf(name string) ([]settings.Peer, error) {
 	var out []settings.Peer
-	for _, r := range l.Routers {
+	for _, r := range l.InstanceList {
 		p := settings.Peer{Instance: r.Instance, DataCentre: r.DataCentre, Mesh: r.Mesh, HasDisk: r.DataDir != ""}
 		if l.Link != nil && r.Instance != name {
 			var err error
@@ -194,7 +194,7 @@
 
 func (l *Layout) addTargets(c *fleetconfig.Config) {
 	countByKind := map[standin.Kind]int{}
-	for _, s := range l.Specs {
+	for _, s := range l.StandinSpecs {
 		t := fleetconfig.Target{Name: s.Name, Address: s.Listen, DataCentre: l.dataCentreAt(countByKind[s.Kind]),
 			WarmCapacity: s.WarmCapacity, ColdCapacity: s.ColdCapacity, ChecksFence: s.ChecksFencingToken}
 		switch s.Kind {
@@ -214,8 +214,8 @@
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
 		return errors.Wrap(err, "write fleet files")
 	}
-	files := map[string]any{l.filePath("config.json"): l.Config, l.filePath("standin.json"): standin.File{Targets: l.Specs}}
-	for _, r := range l.Routers {
+	files := map[string]any{l.filePath("config.json"): l.Config, l.filePath("standin.json"): standin.File{Targets: l.StandinSpecs}}
+	for _, r := range l.InstanceList {
 		files[r.File] = r.Settings
 	}
 	for name, v := range files {
@@ -232,11 +232,11 @@
 
 func (l *Layout) filePath(name string) string { return filepath.Join(l.Dir, name) }
 
-// Router returns the instance with a name, or an error if there is none.
-func (l *Layout) Router(name string) (*Instance, error) {
-	for i := range l.Routers {
-		if l.Routers[i].Instance == name {
-			return &l.Routers[i], nil
+// Instance returns the instance with a name, or an error if there is none.
+func (l *Layout) Instance(name string) (*Instance, error) {
+	for i := range l.InstanceList {
+		if l.InstanceList[i].Instance == name {
+			return &l.InstanceList[i], nil
 		}
 	}
 	return nil, errors.Errorf("no instance %q", name)
@@ -244,7 +244,7 @@
 
 // Target returns the stand-in with a name, or an error if there is none.
 func (l *Layout) Target(name string) (standin.Spec, error) {
-	for _, s := range l.Specs {
+	for _, s := range l.StandinSpecs {
 		if s.Name == name {
 			return s, nil
 		}
@@ -267,7 +267,7 @@
 // Entries returns the caller-facing addresses and the readiness URLs of all
 // instances, in the same order.
 func (l *Layout) Entries() (entries, ready []string) {
-	for _, r := range l.Routers {
+	for _, r := range l.InstanceList {
 		entries = append(entries, r.Listen)
 		ready = append(ready, "http://"+r.Admin+"/ready")
 	}
--- a/internal/fleetrun/observe.go
+++ b/internal/fleetrun/observe.go
@@ -16,7 +16,7 @@
 
 // Status fetches the status of an instance from its admin address, within 1 s.
 func (f *Fleet) Status(ctx context.Context, name string) (adminapi.Status, error) {
-	r, err := f.Router(name)
+	r, err := f.Instance(name)
 	if err != nil {
 		return adminapi.Status{}, err
 	}
@@ -29,7 +29,7 @@
 // owner of the pool and returns that owner's name. It fails if the context ends.
 func (f *Fleet) Owner(ctx context.Context, pool string) (owner string, err error) {
 	err = f.poll(ctx, "owner of "+pool, func() error {
-		for _, r := range f.Routers {
+		for _, r := range f.InstanceList {
 			s, err := f.Status(ctx, r.Instance)
 			if err != nil {
 				continue
--- a/internal/fleetrun/usage.go
+++ b/internal/fleetrun/usage.go
@@ -31,7 +31,7 @@
 // scrapeEach calls handle with the name and the metrics text of each running
 // instance. It stops at the first that cannot be read.
 func (f *Fleet) scrapeEach(ctx context.Context, handle func(name, text string)) error {
-	for _, r := range f.Routers {
+	for _, r := range f.InstanceList {
 		if !f.Running(r.Instance) {
 			continue
 		}
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -23,9 +23,9 @@
 		"fleet":  command(0, (*harness).startFleet),
 		"start":  command(1, func(h *harness, _ script, args []string) error { return h.fleet.Start(h.expandAll(args)...) }),
 		"crash":  eachInstance(func(h *harness, name string) error { return h.fleet.Kill(name) }),
-		"freeze": eachInstance(func(h *harness, name string) error { return h.fleet.Freeze(name) }),
-		"thaw":   eachInstance(func(h *harness, name string) error { return h.fleet.Thaw(name) }),
-		"wipe":   eachInstance(func(h *harness, name string) error { return h.fleet.Wipe(name) }),
+		"freeze": eachInstance(func(h *harness, name string) error { return h.fleet.Suspend(name) }),
+		"thaw":   eachInstance(func(h *harness, name string) error { return h.fleet.Resume(name) }),
+		"wipe":   eachInstance(func(h *harness, name string) error { return h.fleet.DeleteData(name) }),
 		"drain":  command(1, (*harness).drain),
 		"ready": command(1, func(h *harness, _ script, args []string) error {
 			ctx, cancel := context.WithTimeout(h.ctx, waitTimeout)
@@ -85,7 +85,7 @@
 				return err
 			}
 			owner := ts.Getenv(args[1])
-			for _, r := range h.fleet.Routers[3:] { // the first three have a disk and a control replica
+			for _, r := range h.fleet.InstanceList[3:] { // the first three have a disk and a control replica
 				if r.Instance != owner {
 					ts.Setenv(args[1], r.Instance)
 				}
@@ -179,7 +179,7 @@
 // fault injects a fault into all targets whose names match the pattern.
 func (h *harness) fault(_ script, args []string) error {
 	matched := false
-	for _, s := range h.fleet.Specs {
+	for _, s := range h.fleet.StandinSpecs {
 		if ok, err := path.Match(args[0], s.Name); err != nil || !ok {
 			continue
 		}
@@ -275,7 +275,7 @@
 // setLeader waits for a control leader and sets a variable of the script to its name.
 func (h *harness) setLeader(ts script, args []string) error {
 	return h.waitUntil("control leader", func() bool {
-		for _, r := range h.fleet.Routers {
+		for _, r := range h.fleet.InstanceList {
 			if s, err := h.status(r.Instance); err == nil && s.Control.Role == "leader" {
 				ts.Setenv(args[0], r.Instance)
 				return true
--- a/scenario/harness_test.go
+++ b/scenario/harness_test.go
@@ -178,7 +178,7 @@
 	}
 	ctx, cancel := context.WithTimeout(h.ctx, waitTimeout)
 	defer cancel()
-	return h.fleet.Up(ctx)
+	return h.fleet.StartAll(ctx)
 }
 
 // expandAll returns the names, or the names of all instances for the single name "all".
@@ -187,7 +187,7 @@
 		return names
 	}
 	var out []string
-	for _, r := range h.fleet.Routers {
+	for _, r := range h.fleet.InstanceList {
 		out = append(out, r.Instance)
 	}
 	return out
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -79,7 +79,7 @@
 	case "entries":
 		plan.Entries, plan.Ready = nil, nil
 		for _, name := range strings.Split(value, ",") {
-			r, err := h.fleet.Router(name)
+			r, err := h.fleet.Instance(name)
 			if err != nil {
 				return err
 			}
@@ -135,7 +135,7 @@
 
 // call sends one keyed non-idempotent request in the background.
 func (h *harness) call(_ script, args []string) error {
-	r, err := h.fleet.Router(args[1])
+	r, err := h.fleet.Instance(args[1])
 	if err != nil {
 		return err
 	}
