--- a/internal/fleetrun/fleet.go
+++ b/internal/fleetrun/fleet.go
@@ -53,8 +53,8 @@
 // StartStandins starts the process of the stand-ins and waits until the last of
 // them accepts connections or the context ends.
 func (f *Fleet) StartStandins(ctx context.Context) error {
-	err := f.procs.Put(standinName, func() (*proc.Process, error) {
-		return proc.Launch(standinName, filepath.Join(f.Bin, "nutmegstandin"), f.logPath(standinName), "-file", f.filePath("standin.json"))
+	err := f.procs.Start(standinName, func() (*proc.Process, error) {
+		return proc.Start(standinName, filepath.Join(f.Bin, "nutmegstandin"), f.logPath(standinName), "-file", f.filePath("standin.json"))
 	})
 	if err != nil {
 		return err
@@ -79,8 +79,8 @@
 		if err != nil {
 			return err
 		}
-		err = f.procs.Put(name, func() (*proc.Process, error) {
-			return proc.Launch(name, filepath.Join(f.Bin, "nutmegd"), f.logPath(name), "-settings", r.File)
+		err = f.procs.Start(name, func() (*proc.Process, error) {
+			return proc.Start(name, filepath.Join(f.Bin, "nutmegd"), f.logPath(name), "-settings", r.File)
 		})
 		if err != nil {
 			return err
--- a/internal/fleetrun/fleetrun_test.go
+++ b/internal/fleetrun/fleetrun_test.go
@@ -49,16 +49,16 @@
 func TestProcess(t *testing.T) {
 	is := is.New(t)
 	var g proc.Group
-	start := func() (*proc.Process, error) { return proc.Launch("p", "/bin/sleep", t.TempDir()+"/log", "60") }
-	is.NoErr(g.Put("p", start))
-	is.True(g.Put("p", start) != nil) // it is already running
+	start := func() (*proc.Process, error) { return proc.Start("p", "/bin/sleep", t.TempDir()+"/log", "60") }
+	is.NoErr(g.Start("p", start))
+	is.True(g.Start("p", start) != nil) // it is already running
 	p, err := g.Get("p")
 	is.NoErr(err)
 	is.NoErr(p.Signal(syscall.SIGTERM))
 	is.True(p.Wait(10*time.Second) != nil) // exited by a signal, not with code 0
 	is.True(!p.Running())
 	is.True(p.Signal(syscall.SIGTERM) != nil)
-	is.NoErr(g.Put("p", start))
+	is.NoErr(g.Start("p", start))
 	g.KillAll()
 }
 
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -24,10 +24,10 @@
 // Done returns a channel that is closed when the program has exited.
 func (p *Process) Done() <-chan struct{} { return p.exited }
 
-// Launch starts the program at binPath and appends its output to a log file, whose
+// Start starts the program at binPath and appends its output to a log file, whose
 // folder it creates. The kernel kills the program if this process exits first. name
 // identifies the program in errors.
-func Launch(name, binPath, logPath string, args ...string) (*Process, error) {
+func Start(name, binPath, logPath string, args ...string) (*Process, error) {
 	if err := os.MkdirAll(filepath.Dir(logPath), 0o755); err != nil {
 		return nil, errors.Wrap(err, "start "+name)
 	}
@@ -95,9 +95,9 @@
 	return nil, errors.Errorf("%s was never started", name)
 }
 
-// Put calls start and registers its process under a name. It fails, without calling
+// Start calls start and registers its process under a name. It fails, without calling
 // start, if the process of that name is still running.
-func (g *Group) Put(name string, start func() (*Process, error)) error {
+func (g *Group) Start(name string, start func() (*Process, error)) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p := g.processes[name]; p != nil && p.Running() {
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -216,8 +216,8 @@
 			return errors.Wrap(err, inst.name)
 		}
 	}
-	return h.procs.Put(inst.name, func() (*proc.Process, error) {
-		return proc.Launch(inst.name, h.opt.Binary, filepath.Join(h.opt.Dir, inst.name+".log"), "-settings", inst.settingsFile)
+	return h.procs.Start(inst.name, func() (*proc.Process, error) {
+		return proc.Start(inst.name, h.opt.Binary, filepath.Join(h.opt.Dir, inst.name+".log"), "-settings", inst.settingsFile)
 	})
 }
 
