--- a/cmd/nutmegbench/phases.go
+++ b/cmd/nutmegbench/phases.go
@@ -27,7 +27,7 @@
 	// fillTime is the time that the queues need to fill under overload. Requirement R1
 	// compares the service of two workspaces only from when both are backlogged.
 	fillTime        = 10 * time.Second
-	waitingInterval = 250 * time.Millisecond
+	backlogInterval = 250 * time.Millisecond
 )
 
 // latency measures the time that nutmegrouter adds to a call, by sending the same calls
@@ -155,7 +155,7 @@
 // in every sample from fillTime to the end of the arrivals.
 func backloggedWorkspaces(r *loadgen.Run) (out []int) {
 	for w := range r.Plan.Workspaces {
-		if slices.Min(r.Backlog(w, fillTime, r.Plan.Duration, waitingInterval)) > 0 {
+		if slices.Min(r.Backlog(w, fillTime, r.Plan.Duration, backlogInterval)) > 0 {
 			out = append(out, w)
 		}
 	}
--- a/cmd/nutmegctl/explain.go
+++ b/cmd/nutmegctl/explain.go
@@ -34,13 +34,13 @@
 			return err
 		}
 	}
-	story := r.Trace()
+	trace := r.Trace()
 	if asJSON {
-		return t.printJSON(story)
+		return t.printJSON(trace)
 	}
-	t.printStory(story)
-	if len(story.Lines) == 0 {
-		return errors.Errorf("no line of request %s in %d lines of %d instances", story.Request, story.LinesRead, len(story.Instances))
+	t.printTrace(trace)
+	if len(trace.Lines) == 0 {
+		return errors.Errorf("no line of request %s in %d lines of %d instances", trace.Request, trace.LinesRead, len(trace.Instances))
 	}
 	return nil
 }
@@ -57,28 +57,28 @@
 	return errors.WithMessage(r.Read(f), name)
 }
 
-func (t *tool) printStory(story explain.Trace) {
-	if len(story.State) > 0 {
+func (t *tool) printTrace(trace explain.Trace) {
+	if len(trace.State) > 0 {
 		fmt.Fprintln(t.out, "last known state when the request arrived:")
 	}
-	for _, b := range story.State {
+	for _, b := range trace.State {
 		fmt.Fprintf(t.out, "  %9s before  %s  %s %s\n", b.Age.Round(time.Millisecond), b.Instance, b.Message, formatFields(b.Line))
 	}
-	if len(story.Lines) > 0 {
-		fmt.Fprintf(t.out, "request %s, from %s:\n", story.Request, story.Lines[0].Time.Format(time.RFC3339Nano))
+	if len(trace.Lines) > 0 {
+		fmt.Fprintf(t.out, "request %s, from %s:\n", trace.Request, trace.Lines[0].Time.Format(time.RFC3339Nano))
 	}
-	for _, l := range story.Lines {
-		fmt.Fprintf(t.out, "  %+9s  %s  %s %s\n", l.Time.Sub(story.Lines[0].Time).Round(time.Millisecond), l.Instance, l.Message, formatFields(l))
+	for _, l := range trace.Lines {
+		fmt.Fprintf(t.out, "  %+9s  %s  %s %s\n", l.Time.Sub(trace.Lines[0].Time).Round(time.Millisecond), l.Instance, l.Message, formatFields(l))
 	}
 	switch {
-	case story.Outcome != nil:
-		fmt.Fprintf(t.out, "outcome: %s %s\n", story.Outcome.Message, formatFields(*story.Outcome))
-	case len(story.Lines) > 0:
+	case trace.Outcome != nil:
+		fmt.Fprintf(t.out, "outcome: %s %s\n", trace.Outcome.Message, formatFields(*trace.Outcome))
+	case len(trace.Lines) > 0:
 		fmt.Fprintln(t.out, "outcome: unknown; no log line ends the request, the process may have stopped")
 	}
-	fmt.Fprintf(t.out, "read %d lines of %d instances; %d were not log lines\n", story.LinesRead, len(story.Instances), story.Unreadable)
-	if len(story.Missing) > 0 {
-		fmt.Fprintf(t.out, "instances named in these lines but missing from the input: %s\n", strings.Join(story.Missing, ", "))
+	fmt.Fprintf(t.out, "read %d lines of %d instances; %d were not log lines\n", trace.LinesRead, len(trace.Instances), trace.Unreadable)
+	if len(trace.Missing) > 0 {
+		fmt.Fprintf(t.out, "instances named in these lines but missing from the input: %s\n", strings.Join(trace.Missing, ", "))
 	}
 }
 
--- a/cmd/nutmegctl/main_test.go
+++ b/cmd/nutmegctl/main_test.go
@@ -176,9 +176,9 @@
 	is.True(strings.Contains(out.String(), "outcome: refused code=too_late left_ms=80"))
 	out.Reset()
 	is.Equal(run([]string{"explain", "-json", "r1"}, strings.NewReader(lines), &out, &errOut), exitOK)
-	var story struct{ Outcome struct{ Msg string } }
-	is.NoErr(json.Unmarshal(out.Bytes(), &story))
-	is.Equal(story.Outcome.Msg, "refused")
+	var trace struct{ Outcome struct{ Msg string } }
+	is.NoErr(json.Unmarshal(out.Bytes(), &trace))
+	is.Equal(trace.Outcome.Msg, "refused")
 	is.Equal(run([]string{"explain", "r2", name}, nil, &out, &errOut), exitFailure)
 	is.True(strings.Contains(errOut.String(), "no line of request r2"))
 	is.Equal(run([]string{"explain"}, nil, &out, &errOut), exitUsage)
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -67,8 +67,8 @@
 type InForce struct {
 	Revision uint64 `json:"revision"`
 	InForce  bool   `json:"in_force"`
-	// WaitingInstances names the instances that may have a valid lease but have not reported
-	// the revision.
+	// WaitingInstances names the instances that may have a valid lease but have not
+	// reported the revision.
 	WaitingInstances []string `json:"waiting,omitempty"`
 }
 
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -7,7 +7,7 @@
 // repeats
 //
 //	rd := n.Ready()
-//	// 1. write rd.Snapshot, rd.Hard and rd.Entries and sync them
+//	// 1. write rd.Snapshot, rd.HardState and rd.Entries and sync them
 //	// 2. send rd.Messages
 //	// 3. restore rd.Snapshot, apply rd.Committed, serve rd.Reads
 //	n.Advance(rd)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -46,7 +46,8 @@
 	Request string `json:"request"` // request id
 	// Lines are the log lines of the request in order of time.
 	Lines []Line `json:"lines"`
-	// State are the state of the instances that handled the request at that time.
+	// State holds the last state lines, at that time, of the instances that handled
+	// the request.
 	State []StateLine `json:"beliefs"`
 	// Outcome is the last line that ends the request; nil if there is none.
 	Outcome *Line `json:"outcome"`
--- a/internal/fleetrun/layout.go
+++ b/internal/fleetrun/layout.go
@@ -75,7 +75,7 @@
 // invalid.
 func Plan(o Options) (*Layout, error) {
 	l := &Layout{Options: o.withDefaults()}
-	steps := []func() error{l.planTargets, l.planRouters, l.planConfig, l.write}
+	steps := []func() error{l.planTargets, l.planInstances, l.planConfig, l.write}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return nil, errors.WithMessage(err, "lay out fleet")
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (l *Layout) planRouters() error {
+func (l *Layout) planInstances() error {
 	ports, err := freePorts(3 * l.Instances)
 	if err != nil {
 		return err
--- a/internal/loadgen/fair.go
+++ b/internal/loadgen/fair.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxMinFairShares returns the weighted max-min fair shares of a total, by participant. No
-// share exceeds its demand; what a participant does not use is divided among the
+// MaxMinFairShares returns the weighted max-min fair shares of a total, by participant.
+// No share exceeds its demand; what a participant does not use is divided among the
 // others in proportion to their weights. All values have the unit of the total.
 func MaxMinFairShares(total float64, demand, weight []float64) []float64 {
 	allocation := make([]float64, len(demand))
@@ -37,7 +37,8 @@
 	return allocation
 }
 
-// fillShares sets Share and Fair of each row, for the pool with the most service.
+// fillShares sets ServiceShare and FairShare of each row, for the pool with the most
+// service.
 func (rep *Report) fillShares(p *Plan) {
 	totals := map[string]float64{}
 	for _, r := range rep.Rows {
@@ -99,7 +100,7 @@
 	return s
 }
 
-// EventGap returns two values for each step, both of the service per weight that the
+// ServiceGap returns two values for each step, both of the service per weight that the
 // workspaces with the given indices received from the start of the run to the end
 // of the step: the difference between the largest and the smallest, and the
 // smallest. weight has an entry for every workspace of the series.
@@ -122,18 +123,18 @@
 // times since the start of the run: the number of requests that had arrived but
 // not received their first byte. Only requests with a whole response count.
 func (r *Run) Backlog(workspace int, from, to, step time.Duration) []int {
-	waiting := make([]int, (to-from)/step)
+	backlog := make([]int, (to-from)/step)
 	for i := range r.Records {
 		rec := &r.Records[i]
 		if rec.Job.Workspace != workspace || rec.Skipped || rec.Verdict != Whole {
 			continue
 		}
-		for n := max(0, (rec.Job.At-from+step-1)/step); n < time.Duration(len(waiting)); n++ {
+		for n := max(0, (rec.Job.At-from+step-1)/step); n < time.Duration(len(backlog)); n++ {
 			if from+n*step >= rec.Job.At+rec.FirstByteLatency {
 				break
 			}
-			waiting[n]++
+			backlog[n]++
 		}
 	}
-	return waiting
+	return backlog
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -81,7 +81,7 @@
 
 // Guards against wrong max-min fair shares when a workspace asks for less than its
 // share.
-func TestMaxMin(t *testing.T) {
+func TestMaxMinFairShares(t *testing.T) {
 	is := is.New(t)
 	is.Equal(MaxMinFairShares(90, []float64{10, 100, 100}, []float64{1, 1, 1}), []float64{10, 40, 40})
 	is.Equal(MaxMinFairShares(90, []float64{100, 100}, []float64{2, 1}), []float64{60, 30})
@@ -111,7 +111,7 @@
 
 // Guards against a backlog that includes requests before their arrival or after
 // their first byte, or requests of other workspaces.
-func TestWaiting(t *testing.T) {
+func TestBacklog(t *testing.T) {
 	is := is.New(t)
 	r := &Run{Records: []Record{
 		{Job: &Job{At: 2 * time.Second}, FirstByteLatency: 2 * time.Second},
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -14,7 +14,7 @@
 	Share float64 // weight of this kind in the mix
 	Class string  // value of the X-Cost-Class header; "" = not sent
 	Pool  string
-	// Model is set for engine pools only. Least and Most bound the size of a
+	// Model is set for engine pools only. MinSize and MaxSize bound the size of a
 	// request, both inclusive: response tokens for engines, else service time in ms.
 	Model            string
 	MinSize, MaxSize int
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -31,8 +31,8 @@
 	// Service is the cost of whole responses by pool, Offered that of all sent
 	// requests, both in cost units (see Job.Cost).
 	Service, Offered map[string]float64
-	// ServiceShare is the fraction of the service in the pool with the most service that
-	// this workspace received; Fair is its max-min fair share as a fraction.
+	// ServiceShare is the fraction of the service in the pool with the most service
+	// that this workspace received; FairShare is its max-min fair share as a fraction.
 	ServiceShare, FairShare float64
 }
 
@@ -40,8 +40,8 @@
 type Report struct {
 	Rows  []Row // by workspace index
 	Total Row
-	// FirstByte, Gap and Took are histograms in µs by kind of request, for whole
-	// responses: the time from the planned arrival to the first byte, the time
+	// FirstByte, EventGap and Latency are histograms in µs by kind of request, for
+	// whole responses: the time from the planned arrival to the first byte, the time
 	// between two events, and the time from the planned arrival to the end.
 	FirstByte, EventGap, Latency map[string]*hdrhistogram.Histogram
 	// Codes counts requests without a whole response by error text.
--- a/internal/logqueue/handler.go
+++ b/internal/logqueue/handler.go
@@ -30,12 +30,12 @@
 
 // Limits on the log volume of one process.
 const (
-	// OrdinaryBytesPerSecond limits lines up to the level Info, which are those of requests
-	// without failures, in bytes per second.
+	// OrdinaryBytesPerSecond limits lines up to the level Info, which are those of
+	// requests without failures.
 	OrdinaryBytesPerSecond = 96 << 10
-	// FailedBytesPerSecond limits the lines of failed requests, in bytes per second.
+	// FailedBytesPerSecond limits the lines of failed requests.
 	FailedBytesPerSecond = 64 << 10
-	// StateBytesPerSecond limits all other lines, in bytes per second.
+	// StateBytesPerSecond limits all other lines.
 	StateBytesPerSecond = 64 << 10
 	// queueCapacity bounds the lines of each class that wait for the writer.
 	queueCapacity = 2048
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -22,23 +22,23 @@
 }
 
 // Error implements error.
-func (f Problem) Error() string {
-	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Text)
+func (p Problem) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Field, p.Text)
 }
 
 // Problems is the list of all errors in one file.
 type Problems []Problem
 
-// Error implements error. It returns one line for each fault.
-func (fs Problems) Error() string {
-	lines := make([]string, len(fs))
-	for i, f := range fs {
-		lines[i] = f.Error()
+// Error implements error. It returns one line for each problem.
+func (ps Problems) Error() string {
+	lines := make([]string, len(ps))
+	for i, p := range ps {
+		lines[i] = p.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Load reads, parses and validates a settings file. The error is of type Faults
+// Load reads, parses and validates a settings file. The error is of type Problems
 // unless the file cannot be read.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
@@ -49,7 +49,7 @@
 }
 
 // Parse parses and validates settings. The name of the file is used only in errors,
-// which are of type Faults.
+// which are of type Problems.
 func Parse(file string, raw []byte) (*Settings, error) {
 	std, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
@@ -58,11 +58,11 @@
 	p := &parser{file: file, raw: std}
 	s := &Settings{}
 	p.decodeObject(json.RawMessage(std), 0, "", reflect.ValueOf(s).Elem())
-	if len(p.faults) == 0 {
+	if len(p.problems) == 0 {
 		p.check(s)
 	}
-	if len(p.faults) > 0 {
-		return nil, p.faults
+	if len(p.problems) > 0 {
+		return nil, p.problems
 	}
 	return s, nil
 }
@@ -78,15 +78,15 @@
 // parser decodes the file field by field, because encoding/json stops at the first
 // error and does not report its line.
 type parser struct {
-	file   string
-	raw    []byte
-	faults Problems
+	file     string
+	raw      []byte
+	problems Problems
 }
 
-// addFault records an error of a field at an offset of the file.
-func (p *parser) addFault(offset int, field, format string, args ...any) {
+// addProblem records an error of a field at an offset of the file.
+func (p *parser) addProblem(offset int, field, format string, args ...any) {
 	line := 1 + bytes.Count(p.raw[:min(offset, len(p.raw))], []byte("\n"))
-	p.faults = append(p.faults, Problem{p.file, line, field, fmt.Sprintf(format, args...)})
+	p.problems = append(p.problems, Problem{p.file, line, field, fmt.Sprintf(format, args...)})
 }
 
 // decodeObject decodes raw, a JSON object at offset base of the file, into the struct v.
@@ -94,7 +94,7 @@
 func (p *parser) decodeObject(raw json.RawMessage, base int, prefix string, v reflect.Value) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
-		p.addFault(base, fieldOrFile(prefix), "want an object")
+		p.addProblem(base, fieldOrFile(prefix), "want an object")
 		return
 	}
 	seen := map[string]bool{}
@@ -102,23 +102,23 @@
 		t, err := dec.Token()
 		key, ok := t.(string)
 		if err != nil || !ok {
-			p.addFault(base+int(dec.InputOffset()), fieldOrFile(prefix), "want a field name")
+			p.addProblem(base+int(dec.InputOffset()), fieldOrFile(prefix), "want a field name")
 			return
 		}
 		at := base + int(dec.InputOffset())
 		var val json.RawMessage
 		if err := dec.Decode(&val); err != nil {
-			p.addFault(at, prefix+key, "%v", err)
+			p.addProblem(at, prefix+key, "%v", err)
 			return
 		}
 		start := base + int(dec.InputOffset()) - len(val)
 		if seen[key] {
-			p.addFault(at, prefix+key, "given twice")
+			p.addProblem(at, prefix+key, "given twice")
 		}
 		seen[key] = true
 		f, ok := fieldByTag(v, key)
 		if !ok {
-			p.addFault(at, prefix+key, "unknown field")
+			p.addProblem(at, prefix+key, "unknown field")
 			continue
 		}
 		p.decodeValue(val, start, prefix+key, f)
@@ -133,7 +133,7 @@
 		p.decodeArray(raw, base, name, v)
 	default:
 		if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil {
-			p.addFault(base, name, "want %s, got %s", v.Kind(), raw)
+			p.addProblem(base, name, "want %s, got %s", v.Kind(), raw)
 		}
 	}
 }
@@ -141,13 +141,13 @@
 func (p *parser) decodeArray(raw json.RawMessage, base int, name string, v reflect.Value) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if t, err := dec.Token(); err != nil || t != json.Delim('[') {
-		p.addFault(base, name, "want an array")
+		p.addProblem(base, name, "want an array")
 		return
 	}
 	for i := 0; dec.More(); i++ {
 		var val json.RawMessage
 		if err := dec.Decode(&val); err != nil {
-			p.addFault(base, name, "%v", err)
+			p.addProblem(base, name, "%v", err)
 			return
 		}
 		elem := reflect.New(v.Type().Elem()).Elem()
@@ -185,7 +185,7 @@
 	case ProfileRoutes:
 		p.checkRoutes(s)
 	default:
-		p.addFault(p.fieldOffset("profile"), "profile", "want %q or %q, got %q", ProfilePools, ProfileRoutes, s.Profile)
+		p.addProblem(p.fieldOffset("profile"), "profile", "want %q or %q, got %q", ProfilePools, ProfileRoutes, s.Profile)
 	}
 }
 
@@ -201,7 +201,7 @@
 		p.checkSet(field+".dataCentre", peer.DataCentre)
 		p.checkAddress(field+".mesh", peer.Mesh)
 		if names[peer.Instance] {
-			p.addFault(p.fieldOffset("peers"), field+".instance", "%q given twice", peer.Instance)
+			p.addProblem(p.fieldOffset("peers"), field+".instance", "%q given twice", peer.Instance)
 		}
 		names[peer.Instance] = true
 	}
@@ -214,17 +214,17 @@
 			continue
 		}
 		if peer.HasDisk != (s.DataDir != "") {
-			p.addFault(p.fieldOffset("dataDir"), "dataDir", "must be set exactly if peers marks this instance with disk")
+			p.addProblem(p.fieldOffset("dataDir"), "dataDir", "must be set exactly if peers marks this instance with disk")
 		}
 		if peer.DataCentre != s.DataCentre {
-			p.addFault(p.fieldOffset("dataCentre"), "dataCentre", "differs from this instance's entry in peers")
+			p.addProblem(p.fieldOffset("dataCentre"), "dataCentre", "differs from this instance's entry in peers")
 		}
 		if len(s.Replicas()) == 0 {
-			p.addFault(p.fieldOffset("peers"), "peers", "no instance has a disk")
+			p.addProblem(p.fieldOffset("peers"), "peers", "no instance has a disk")
 		}
 		return
 	}
-	p.addFault(p.fieldOffset("peers"), "peers", "must list this instance %q", s.Instance)
+	p.addProblem(p.fieldOffset("peers"), "peers", "must list this instance %q", s.Instance)
 }
 
 func (p *parser) checkLimits(l Limits) {
@@ -232,20 +232,20 @@
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
 		if v.Field(i).Int() < 0 {
-			p.addFault(p.fieldOffset(name), "limits."+name, "must not be negative")
+			p.addProblem(p.fieldOffset(name), "limits."+name, "must not be negative")
 		}
 	}
 }
 
 func (p *parser) checkSet(field, value string) {
 	if value == "" {
-		p.addFault(p.fieldOffset(field), field, "must be set")
+		p.addProblem(p.fieldOffset(field), field, "must be set")
 	}
 }
 
 func (p *parser) checkAddress(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		p.addFault(p.fieldOffset(field), field, "want IP:port, got %q", value)
+		p.addProblem(p.fieldOffset(field), field, "want IP:port, got %q", value)
 	}
 }
 
--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -90,10 +90,10 @@
 func (p *parser) checkRoutes(s *Settings) {
 	r := s.Routes
 	if (s.Listen == "") == (r.Operators == "") {
-		p.addFault(p.fieldOffset("routes"), "routes.operators", "exactly one of listen and routes.operators must be set")
+		p.addProblem(p.fieldOffset("routes"), "routes.operators", "exactly one of listen and routes.operators must be set")
 	}
 	if (s.DataDir == "") != (r.Operators == "") {
-		p.addFault(p.fieldOffset("dataDir"), "dataDir", "must be set exactly on control instances")
+		p.addProblem(p.fieldOffset("dataDir"), "dataDir", "must be set exactly on control instances")
 	}
 	for field, address := range map[string]string{"listen": s.Listen, "routes.ready": r.Ready, "routes.operators": r.Operators} {
 		if address != "" {
@@ -101,7 +101,7 @@
 		}
 	}
 	if s.Listen != "" && r.Ready == "" {
-		p.addFault(p.fieldOffset("routes"), "routes.ready", "must be set with listen")
+		p.addProblem(p.fieldOffset("routes"), "routes.ready", "must be set with listen")
 	}
 	p.checkAddress("mesh", s.Mesh)
 	if s.MeshListen != "" {
@@ -110,19 +110,19 @@
 	p.checkAddress("admin", s.Admin)
 	p.checkAddress("routes.directory.address", r.Directory.Address)
 	if len(r.Seeds) == 0 {
-		p.addFault(p.fieldOffset("seeds"), "routes.seeds", "want at least one address")
+		p.addProblem(p.fieldOffset("seeds"), "routes.seeds", "want at least one address")
 	}
 	for i, seed := range r.Seeds {
 		p.checkAddress(fmt.Sprintf("routes.seeds[%d]", i), seed)
 	}
 	if r.MemoryMB <= 0 {
-		p.addFault(p.fieldOffset("memoryMB"), "routes.memoryMB", "must be above 0")
+		p.addProblem(p.fieldOffset("memoryMB"), "routes.memoryMB", "must be above 0")
 	}
 	if r.MaxFiles <= reservedFiles {
-		p.addFault(p.fieldOffset("maxFiles"), "routes.maxFiles", "must be above %d", reservedFiles)
+		p.addProblem(p.fieldOffset("maxFiles"), "routes.maxFiles", "must be above %d", reservedFiles)
 	}
 	if r.LossesTolerated < 0 {
-		p.addFault(p.fieldOffset("lossesTolerated"), "routes.lossesTolerated", "must not be negative")
+		p.addProblem(p.fieldOffset("lossesTolerated"), "routes.lossesTolerated", "must not be negative")
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,9 +31,9 @@
 	is.Equal(s.MaxBodyBytes(), DefaultMaxBodyBytes)
 }
 
-// Guards against faults without file, line or field, and against a parser that stops
-// at the first fault.
-func TestParseFaults(t *testing.T) {
+// Guards against problems without file, line or field, and against a parser that stops
+// at the first problem.
+func TestParseProblems(t *testing.T) {
 	cases := []struct {
 		name, old, new string
 		want           []string
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -10,8 +10,8 @@
 // findViolations checks the recorded requests and the runs at the targets against
 // the fleet's guarantees. Each violation is one line.
 func (h *harness) findViolations(requests []*request) []string {
-	violations := h.ledger.Violations()
-	runs := h.ledger.All()
+	violations := h.runLog.Violations()
+	runs := h.runLog.All()
 	byID := map[string]*request{}
 	for _, req := range requests {
 		byID[req.call.ID] = req
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -211,12 +211,12 @@
 	for i := range h.targets {
 		if rng.IntN(3) == 0 {
 			affected = append(affected, i)
-			h.targets[i].Trouble.Set(refuse, fail, cut, hang)
+			h.targets[i].FaultRates.Set(refuse, fail, cut, hang)
 		}
 	}
 	randomPause(ctx, rng, 4)
 	for _, i := range affected {
-		h.targets[i].Trouble.Set(0, 0, 0, 0)
+		h.targets[i].FaultRates.Set(0, 0, 0, 0)
 	}
 }
 
@@ -265,7 +265,7 @@
 	doc = doc[:len(doc)-1-rng.IntN(len(doc)/2)]
 	status, err := h.operator.Replace(ctx, pick(h.controlInstances(), rng).address(operatorPort), doc)
 	if err == nil && status != http.StatusBadRequest && status != http.StatusServiceUnavailable {
-		h.ledger.RecordViolation("the response to an invalid configuration was " + http.StatusText(status))
+		h.runLog.RecordViolation("the response to an invalid configuration was " + http.StatusText(status))
 	}
 }
 
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -83,7 +83,7 @@
 	procs           proc.Group
 	instances       []*instance
 	directory       *standin.Directory
-	ledger          *standin.RunLog
+	runLog          *standin.RunLog
 	targets         []*standin.Target
 	targetRelays    map[string]*relay.Relay // in front of the targets, by target id
 	config          standin.Config
@@ -96,7 +96,7 @@
 // without starting them.
 func newHarness(o Options) (*harness, error) {
 	h := &harness{
-		opt: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), ledger: standin.NewLedger(), targetRelays: map[string]*relay.Relay{},
+		opt: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), runLog: standin.NewRunLog(), targetRelays: map[string]*relay.Relay{},
 		operator: standin.Operator{Client: &http.Client{Timeout: 1500 * time.Millisecond}},
 	}
 	var err error
@@ -147,7 +147,7 @@
 	h.targetCount++
 	t := &standin.Target{
 		ID: fmt.Sprintf("i-%s-%d", service, h.targetCount), Service: service, DataCentre: dc, Engine: engine, Slots: slots,
-		Ledger: h.ledger, MaxColdPerSecond: standin.ColdPerSecond*coldOverage + coldSlack, StartedAt: time.Now(),
+		RunLog: h.runLog, MaxColdPerSecond: standin.ColdPerSecond*coldOverage + coldSlack, StartedAt: time.Now(),
 	}
 	if err := t.Start(h.ip(0)); err != nil {
 		return nil, err
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(ctx, h.opt.Duration)
 	defer cancel()
 	var mu sync.Mutex
-	var played []string
+	var started []string
 	controlsDown := 0
 	allFaults := faults()
 	var wg sync.WaitGroup
@@ -102,7 +102,7 @@
 					continue
 				}
 				controlsDown += f.controlsLost
-				played = append(played, f.name)
+				started = append(started, f.name)
 				mu.Unlock()
 				h.opt.Log("fault %s started", f.name)
 				f.inject(ctx, h, rng)
@@ -115,7 +115,7 @@
 		})
 	}
 	wg.Wait()
-	return played
+	return started
 }
 
 // checkConfig reads the configuration back and checks that it is the one accepted last.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -236,7 +236,7 @@
 }
 
 // checkOrder counts an order and reports whether to execute it. An order with a stale
-// fencing token is refused only with ChecksFence.
+// fencing token is refused only with ChecksFencingToken.
 func (e *engine) checkOrder(o Order) bool {
 	e.mu.Lock()
 	stale := o.FencingToken < e.fencingToken
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -123,7 +123,7 @@
 	return 0
 }
 
-// countEvents subtracts sent events from those left until the crash of FaultDie. It
+// countEvents subtracts sent events from those left until the crash of FaultCrash. It
 // returns true when the crash is due.
 func (f *faults) countEvents(events int) bool {
 	f.mu.Lock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ServiceRequest holds the fields of a request body that a plain service reads, if the body
-// is JSON.
+// ServiceRequest holds the fields of a request body that a plain service reads, if the
+// body is JSON.
 type ServiceRequest struct {
 	// User is the request tag under which GET /runs counts the request.
 	User string `json:"user"`
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -183,7 +183,8 @@
 	})
 }
 
-// Guards against stale fencing tokens that pass with ChecksFence, or are refused without.
+// Guards against stale fencing tokens that pass with ChecksFencingToken, or are refused
+// without.
 func TestOrderFencing(t *testing.T) {
 	for _, c := range []struct {
 		checks bool
--- a/plugin/gateway/logs_test.go
+++ b/plugin/gateway/logs_test.go
@@ -92,7 +92,7 @@
 	slowCaller.send(request("GET", "/look/1", "slow1", ""))
 	slowCaller.want(http.StatusOK, "ok")
 
-	story := func(id string) explain.Trace {
+	readTrace := func(id string) explain.Trace {
 		reader := explain.NewReader(id)
 		r.is.NoErr(reader.Read(strings.NewReader(r.logs.String())))
 		return reader.Trace()
@@ -107,17 +107,17 @@
 		return nil
 	}
 	// Shed under load: the code names the limit, the inputs give its values.
-	s := story(refusedID)
+	s := readTrace(refusedID)
 	r.is.Equal(field(s, "refused", "code"), codeBusy)
 	r.is.True(field(s, "refused", "late_ms") != nil)
 	r.is.Equal(field(s, "refused", "run"), "not-run")
 	// Broken stream: which target, after how many events, and why it was not resumed.
-	s = story("broken1")
+	s = readTrace("broken1")
 	r.is.Equal(field(s, "attempt failed", "target"), "t1")
 	r.is.Equal(field(s, "stream broken", "events"), 1.0)
 	r.is.True(field(s, "stream broken", "why") != "")
 	// Slow response: where the time was spent.
-	s = story("slow1")
+	s = readTrace("slow1")
 	r.is.Equal(field(s, "sent", "target"), "t1")
 	r.is.True(field(s, "answered", "took_ms").(float64) >= float64(slow.Milliseconds()))
 }
