--- a/cmd/nutmegbench/demo.go
+++ b/cmd/nutmegbench/demo.go
@@ -68,12 +68,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.Up(ctx); err != nil {
+	if err := f.StartAll(ctx); err != nil {
 		f.Close()
 		return nil, errors.WithMessagef(err, "logs are in %s", filepath.Join(opt.Dir, "logs"))
 	}
 	fmt.Printf("%d instances in %d data centres, %d targets, %d workspaces: ready in %.1f s\n",
-		len(f.Routers), len(f.DataCentres), len(f.Config.Targets), len(f.Workspaces), time.Since(begin).Seconds())
+		len(f.InstanceList), len(f.DataCentres), len(f.Config.Targets), len(f.Workspaces), time.Since(begin).Seconds())
 	return f, nil
 }
 
@@ -146,7 +146,7 @@
 			case <-tick.C:
 				p := r.Progress()
 				fmt.Printf("%5.0f s  sent %6d  whole %6d  refused %4d  unknown %d  lost %d  under way %d\n", p.Elapsed.Seconds(),
-					p.Sent, p.By[loadgen.Whole], p.By[loadgen.Refused], p.By[loadgen.Unknown], p.By[loadgen.Broken]+p.By[loadgen.Lost]+p.By[loadgen.Wrong], p.Sent-p.Ended)
+					p.Sent, p.ByVerdict[loadgen.Whole], p.ByVerdict[loadgen.Refused], p.ByVerdict[loadgen.Unknown], p.ByVerdict[loadgen.Broken]+p.ByVerdict[loadgen.Lost]+p.ByVerdict[loadgen.Wrong], p.Sent-p.Ended)
 			}
 		}
 	}()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,13 +27,13 @@
 	s, err := Parse("good.json", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(s.Instance, "a1")
-	is.Equal(s.Peers[0].Disk, true)
+	is.Equal(s.Peers[0].HasDisk, true)
 	is.Equal(s.MaxBodyBytes(), DefaultMaxBodyBytes)
 }
 
-// Guards against faults without file, line or field, and against a parser that stops
-// at the first fault.
-func TestParseFaults(t *testing.T) {
+// Guards against problems without file, line or field, and against a parser that stops
+// at the first problem.
+func TestParseProblems(t *testing.T) {
 	cases := []struct {
 		name, old, new string
 		want           []string
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -83,7 +83,7 @@
 	procs           proc.Group
 	instances       []*instance
 	directory       *standin.Directory
-	ledger          *standin.Ledger
+	runLog          *standin.RunLog
 	targets         []*standin.Target
 	targetRelays    map[string]*relay.Relay // in front of the targets, by target id
 	config          standin.Config
@@ -96,7 +96,7 @@
 // without starting them.
 func newHarness(o Options) (*harness, error) {
 	h := &harness{
-		opt: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), ledger: standin.NewLedger(), targetRelays: map[string]*relay.Relay{},
+		opt: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), runLog: standin.NewRunLog(), targetRelays: map[string]*relay.Relay{},
 		operator: standin.Operator{Client: &http.Client{Timeout: 1500 * time.Millisecond}},
 	}
 	var err error
@@ -129,7 +129,7 @@
 // baseConfig returns a configuration with four routes, among them each kind.
 func baseConfig() standin.Config {
 	return standin.Config{
-		Callers:  standin.UsualCallers,
+		Callers:  standin.UsualCallerLimits,
 		Version:  1,
 		Services: []standin.Service{{Name: "model", Engine: true, Slots: 16}, {Name: "orders"}},
 		Routes: []standin.Route{
@@ -147,7 +147,7 @@
 	h.targetCount++
 	t := &standin.Target{
 		ID: fmt.Sprintf("i-%s-%d", service, h.targetCount), Service: service, DataCentre: dc, Engine: engine, Slots: slots,
-		Ledger: h.ledger, ColdMost: standin.ColdPerSecond*coldOverage + coldSlack, Born: time.Now(),
+		RunLog: h.runLog, MaxColdPerSecond: standin.ColdPerSecond*coldOverage + coldSlack, StartedAt: time.Now(),
 	}
 	if err := t.Start(h.ip(0)); err != nil {
 		return nil, err
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.Shown = p.Addr()
+	t.ListedAddress = p.Addr()
 	h.targetRelays[t.ID] = p
 	h.targets = append(h.targets, t)
 	h.directory.Add(t)
@@ -216,8 +216,8 @@
 			return errors.Wrap(err, inst.name)
 		}
 	}
-	return h.procs.Put(inst.name, func() (*proc.Process, error) {
-		return proc.Launch(inst.name, h.opt.Binary, filepath.Join(h.opt.Dir, inst.name+".log"), "-settings", inst.settingsFile)
+	return h.procs.Start(inst.name, func() (*proc.Process, error) {
+		return proc.Start(inst.name, h.opt.Binary, filepath.Join(h.opt.Dir, inst.name+".log"), "-settings", inst.settingsFile)
 	})
 }
 
--- a/scenario/load_test.go
+++ b/scenario/load_test.go
@@ -21,7 +21,7 @@
 // parseKinds returns the kinds of requests with the given names, separated by commas.
 func parseKinds(names string) ([]loadgen.Kind, error) {
 	available := append(loadgen.StandardKinds(fleetrun.EnginePool, fleetrun.Model, fleetrun.ServicePool),
-		loadgen.Kind{Name: "stream", Share: 10, Class: "long", Pool: fleetrun.EnginePool, Model: fleetrun.Model, Least: 300, Most: 500})
+		loadgen.Kind{Name: "stream", Share: 10, Class: "long", Pool: fleetrun.EnginePool, Model: fleetrun.Model, MinSize: 300, MaxSize: 500})
 	var out []loadgen.Kind
 	for _, name := range strings.Split(names, ",") {
 		i := slices.IndexFunc(available, func(k loadgen.Kind) bool { return k.Name == name })
@@ -79,7 +79,7 @@
 	case "entries":
 		plan.Entries, plan.Ready = nil, nil
 		for _, name := range strings.Split(value, ",") {
-			r, err := h.fleet.Router(name)
+			r, err := h.fleet.Instance(name)
 			if err != nil {
 				return err
 			}
@@ -135,7 +135,7 @@
 
 // call sends one keyed non-idempotent request in the background.
 func (h *harness) call(_ script, args []string) error {
-	r, err := h.fleet.Router(args[1])
+	r, err := h.fleet.Instance(args[1])
 	if err != nil {
 		return err
 	}
