--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -2,6 +2,11 @@
 // plug-ins use each other. A plug-in registers a service with the kernel under
 // its interface type and looks up the services of others; no plug-in imports
 // another.
+//
+// The profile of a fleet determines which services exist. With "pools", requests are
+// served through Dispatcher, PoolQueue and Lease; with "routes", through Forwarder,
+// Placer, Directory and Topology. Mesh and Fleet exist with both, and so does Control,
+// but with "routes" on control instances only.
 package api
 
 import (
@@ -35,7 +40,8 @@
 	// full or to which no path is known do not receive it.
 	NotifyAll(to []string, method string, params any) error
 	// Call sends a request and decodes the response into result. It waits until
-	// the response arrives or the context ends.
+	// the response arrives or the context ends. A request that was sent is not
+	// retried; after an error other than the handler's it may have been handled.
 	Call(ctx context.Context, to, method string, params, result any) error
 	// Reachable reports whether a direct or relayed path to the peer is known.
 	Reachable(peer string) bool
@@ -86,11 +92,12 @@
 	OnLeader(f func(instance string, term uint64))
 }
 
-// Lease reports the leases of this instance and the owners of pools. Validity is
-// checked against the monotonic clock at each call.
+// Lease reports the leases of this instance and the owners of pools. The instance
+// lease permits an instance to dispatch work. The owner of a pool is the instance
+// that schedules the pool's requests; each new ownership has a higher epoch. Validity
+// is checked against the monotonic clock at each call.
 type Lease interface {
-	// Valid reports whether the instance lease is valid now, so that this instance
-	// may dispatch work.
+	// Valid reports whether the instance lease is valid now.
 	Valid() bool
 	// Owner returns the last known owner of a pool and its epoch; ok is false if
 	// none is known.
@@ -225,21 +232,27 @@
 	Outcome *ClaimOutcome `json:"outcome,omitempty"`
 }
 
-// Control reads and changes the replicated control log. Calls are sent to the
-// leader of the log from any instance.
+// Control reads and changes the replicated control log. Calls are sent to the leader of
+// the log. Those that the leader does not reply to are retried until their context ends;
+// a change may still be applied after that.
 type Control interface {
-	// Submit proposes a change and returns once it is accepted or refused.
+	// Submit proposes a change and returns once it is accepted or refused. A refusal
+	// is reported in the result. After an error it is unknown whether the change was
+	// accepted; it may be submitted again with the same ChangeID.
 	Submit(ctx context.Context, s Submission) (SubmitResult, error)
 	// History returns up to limit of the newest accepted changes, newest first; a
 	// limit below 1 returns all that are stored.
 	History(ctx context.Context, limit int) ([]HistoryEntry, error)
 	// Claim claims a request for holder, a unique request id, so that requests
-	// with the same key run at most once.
+	// with the same key run at most once. A claim expires after 24 hours. Claim fails
+	// if holder has released the claim before or too many claims are stored.
 	Claim(ctx context.Context, key ClaimKey, holder string) (ClaimResult, error)
 	// SettleClaim stores the outcome of a claim. A nil outcome releases the claim;
-	// it is allowed only if the request was certainly not run.
+	// it is allowed only if the request was certainly not run. It fails if holder
+	// has no claim on the key.
 	SettleClaim(ctx context.Context, key ClaimKey, holder string, outcome *ClaimOutcome) error
-	// NewOrderToken returns a new fencing token for orders to the pool's targets.
+	// NewOrderToken returns a new fencing token for the orders that this program
+	// sends to the pool's targets.
 	NewOrderToken(ctx context.Context, pool string) (uint64, error)
 	// ReadRevision returns the newest accepted view revision. The read is
 	// linearizable: a quorum confirms the leader after the call began.
@@ -266,7 +279,8 @@
 	Members []string `json:"members,omitempty"`
 }
 
-// CostClass is the caller's estimate of how expensive a request is.
+// CostClass is the caller's estimate of how expensive a request is. The cost of a class
+// is estimated from completed requests; the classes have no order.
 type CostClass string
 
 // Cost classes.
@@ -291,7 +305,8 @@
 	Admitted bool
 }
 
-// Grant assigns a slot on a target to a request.
+// Grant assigns a slot on a target to a request. A slot is the right to run one request
+// on the target.
 type Grant struct {
 	Target  string // target name
 	Address string // IP:port
@@ -319,12 +334,16 @@
 	WarmthCold    Warmth = "cold"
 )
 
-// GrantOutcome is how the use of a grant ended and what it cost.
+// GrantOutcome is how the use of a grant ended and what it cost. For engines a cost unit
+// is a generated token, and a prompt token costs 0.1 units; for plain services a cost
+// unit is a millisecond of processing.
 type GrantOutcome struct {
-	Result     GrantResult
-	Cost       float64 // actual cost in cost units; 0 = unknown
-	Warmth     Warmth
-	BootNumber uint64 // boot number of the target; 0 = unknown
+	Result GrantResult
+	Cost   float64 // actual cost in cost units; 0 = unknown
+	Warmth Warmth  // as reported by the target
+	// BootNumber is the boot number that the target reported, which grows with each
+	// restart; 0 = unknown.
+	BootNumber uint64
 }
 
 // Ticket is one queued or running request on this instance.
@@ -418,9 +437,9 @@
 	RepeatedHeaders [][2]string
 }
 
-// Response is the response to a request.
+// Response is a target's response to a Request.
 type Response interface {
-	// Head returns the status and headers.
+	// Head returns the target's status and headers.
 	Head() ResponseHead
 	// Read reads the body. It returns io.EOF only after the whole body was
 	// delivered; any other error means that the response is incomplete.
@@ -446,7 +465,7 @@
 }
 
 // Dispatcher runs a request on a target: it queues the request, waits for a
-// grant, claims the idempotency key, sends, retries and resumes.
+// grant, claims the idempotency key, sends, retries and resumes a broken stream.
 type Dispatcher interface {
 	// Dispatch returns the response once its headers have arrived. The error is a
 	// *Refusal.
--- a/internal/api/document.go
+++ b/internal/api/document.go
@@ -24,7 +24,7 @@
 }
 
 // UnpackDocument decompresses the result of PackDocument. It fails if the
-// document is larger than 64 MiB.
+// input is corrupt or the document is larger than 64 MiB.
 func UnpackDocument(packed []byte) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDocumentBytes+1))
 	if err == nil && len(raw) > maxDocumentBytes {
@@ -34,7 +34,7 @@
 }
 
 // ParseTable parses the document of the view. It returns nil for a view
-// without a document.
+// without a document, and an error for one that cannot be decompressed or parsed.
 func (v *View) ParseTable(d Dialect) (*routing.Table, error) {
 	if v.Version == 0 {
 		return nil, nil
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -46,8 +46,9 @@
 	Request string `json:"request"` // request id
 	// Lines are the log lines of the request in order of time.
 	Lines []Line `json:"lines"`
-	// State holds the last state lines, at that time, of the instances that handled
-	// the request.
+	// State holds, for each instance that handled the request, its newest state lines
+	// before its first line of the request. Lines about targets that the lines of the
+	// request do not mention are left out.
 	State []StateLine `json:"beliefs"`
 	// Outcome is the last line that ends the request; nil if there is none.
 	Outcome *Line `json:"outcome"`
@@ -94,7 +95,7 @@
 
 // Read reads the log lines of one source. Lines of one instance must be in the order in
 // which it wrote them. Text before the first brace of a line is skipped, because log
-// collectors add prefixes.
+// collectors add prefixes. It fails on a read error and on a line above 1 MiB.
 func (r *Reader) Read(src io.Reader) error {
 	s := bufio.NewScanner(src)
 	s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
--- a/internal/kernel/duties.go
+++ b/internal/kernel/duties.go
@@ -36,13 +36,13 @@
 	})
 }
 
-// Every runs f at a fixed interval until the duties end.
+// Every runs f at a fixed interval, first after one interval, until the duties end.
 func (d *Duties) Every(name string, interval time.Duration, f func(ctx context.Context)) {
 	d.EveryOrOnSignal(name, interval, nil, f)
 }
 
-// EveryOrOnSignal runs f at a fixed interval and immediately after a value arrives
-// on wake.
+// EveryOrOnSignal runs f like Every and also when a value arrives on wake. The runs
+// never overlap.
 func (d *Duties) EveryOrOnSignal(name string, interval time.Duration, wake <-chan struct{}, f func(ctx context.Context)) {
 	d.Go(name, func(ctx context.Context) error {
 		t := time.NewTicker(interval)
@@ -59,7 +59,8 @@
 	})
 }
 
-// Serve runs a server on a listener, which it closes when the duties end.
+// Serve runs a server on a listener, which it closes when the duties end. An error of
+// serve ends all duties; serve must return nil after the listener was closed.
 func (d *Duties) Serve(name string, ln net.Listener, serve func(net.Listener) error) {
 	d.Go(name, func(context.Context) error { return serve(ln) })
 	d.Go(name+" stop", func(ctx context.Context) error {
--- a/internal/kernel/events.go
+++ b/internal/kernel/events.go
@@ -20,8 +20,9 @@
 	return s.Count < o.Count
 }
 
-// Event is one change of state on an instance. Fields that do not apply to its kind
-// are empty.
+// Event is one change of state on an instance. Record sets Stamp and Instance. Kind is
+// the subject of the change, such as lease or link, and Step is what happened to it.
+// Fields that do not apply to the kind are empty.
 type Event struct {
 	Stamp      Stamp  `json:"stamp"`
 	Instance   string `json:"instance"`
--- a/internal/kernel/plugin.go
+++ b/internal/kernel/plugin.go
@@ -18,7 +18,7 @@
 	Provision(c *Context) error
 }
 
-// Validator checks a provisioned plug-in before anything starts.
+// Validator checks a provisioned plug-in before anything starts. An error ends the start.
 type Validator interface{ Validate() error }
 
 // Starter starts the duties of a plug-in. Start may use the services of all
@@ -27,7 +27,8 @@
 
 // Drainer completes the work in progress during a planned stop.
 type Drainer interface {
-	// Drain returns when no work is in progress or the context ends.
+	// Drain returns when no work is in progress or the context ends. An error is
+	// logged; the stop goes on.
 	Drain(ctx context.Context) error
 }
 
--- a/internal/kernel/run.go
+++ b/internal/kernel/run.go
@@ -37,7 +37,7 @@
 
 // Run provisions and starts the enabled plug-ins and runs them until a duty fails,
 // the context ends, or a planned stop requested by a signal is complete. It returns
-// the first error.
+// the first error of the start, a duty or a Cleanup.
 func Run(ctx context.Context, s *settings.Settings, host Host) error {
 	c := NewContext(s, host.Log, NewClock())
 	if host.Metrics != nil {
--- a/internal/logqueue/handler.go
+++ b/internal/logqueue/handler.go
@@ -65,7 +65,8 @@
 }
 
 // New returns a queue that writes to out. The counter nutmeg_log_lines_dropped_total in
-// the set counts dropped lines by class.
+// the set counts dropped lines; its label kind is ordinary, failed or beliefs, the class
+// of lines about the state of the process.
 func New(out io.Writer, set *metrics.Set) *Queue {
 	q := &Queue{
 		out:      out,
--- a/internal/placewire/messages.go
+++ b/internal/placewire/messages.go
@@ -20,14 +20,16 @@
 
 // Request is a request that needs a target. Number identifies it on its entry instance.
 type Request struct {
-	Number       uint64      `json:"n"`
-	Service      string      `json:"s"`
-	Workspace    string      `json:"w,omitempty"`
-	Tokens       [2]int      `json:"k"`           // of the prompt, and the estimate of those generated
-	Prompt       [][2]uint64 `json:"p,omitempty"` // PartID and tokens of each prompt part
-	TimesMs      [3]int64    `json:"d"`           // time to the objective, time to the deadline, and the route's objective
-	TriedTargets []string    `json:"t,omitempty"` // IDs of the targets of earlier attempts
-	Resumed      bool        `json:"r,omitempty"` // a stream that was already begun is resumed
+	Number    uint64      `json:"n"`
+	Service   string      `json:"s"`
+	Workspace string      `json:"w,omitempty"`
+	Tokens    [2]int      `json:"k"`           // of the prompt, and the estimate of those generated
+	Prompt    [][2]uint64 `json:"p,omitempty"` // PartID and tokens of each prompt part
+	// TimesMs holds the time to the objective, the time to the deadline, and the route's
+	// objective, in milliseconds.
+	TimesMs      [3]int64 `json:"d"`
+	TriedTargets []string `json:"t,omitempty"` // IDs of the targets of earlier attempts
+	Resumed      bool     `json:"r,omitempty"` // a stream that was already begun is resumed
 }
 
 // Running is a request that runs on a target. Target is the target's ID; Began reports
@@ -36,7 +38,7 @@
 	Request
 	Target string `json:"a"`
 	Began  bool   `json:"b,omitempty"`
-	// AgoMs is the time since the request was sent to the target, in milliseconds.
+	// AgoMs is the time since the target was chosen, in milliseconds.
 	AgoMs int64 `json:"g,omitempty"`
 }
 
@@ -81,7 +83,7 @@
 // Tokens returns the tokens of the request as they count towards its workspace's share.
 func (r Refused) Tokens() int { return int(r[0]) }
 
-// LastPart returns the ID of the prompt part that only this request has; 0 = none.
+// LastPart returns the ID of the prompt's last part, which only this request has; 0 = none.
 func (r Refused) LastPart() placement.PartID { return placement.PartID(r[1]) }
 
 // Objective returns the time from the refusal to the request's objective.
--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -75,8 +75,9 @@
 	RetryRatio    float64 `json:"retryRatio"`
 	RetrySlack    float64 `json:"retrySlack"`
 	RetryWindowMs float64 `json:"retryWindowMs"`
-	// ColdOverage and ColdSlack bound the requests started per second on a cold
-	// target: at most overage times the target's cold rate, plus the slack.
+	// ColdOverage and ColdSlack bound the requests started per second on a target that
+	// is not known to be cold, because it may turn cold at any time: at most the
+	// service's ColdPerSecond times ColdOverage, plus ColdSlack, less a safety margin.
 	ColdOverage float64 `json:"coldOverage"`
 	ColdSlack   float64 `json:"coldSlack"`
 	// ShareWindowMs is the window over which tokens are shared among workspaces.
--- a/plugin/control/setup.go
+++ b/plugin/control/setup.go
@@ -1,6 +1,7 @@
 // Package control replicates the fleet's configuration and its claims of keyed
-// requests with Raft, and provides them as api.Control on every instance. Instances
-// with a disk run a replica of the control log. Calls are forwarded to the leader.
+// requests with Raft, and provides them as api.Control on every instance with the profile
+// "pools" and on control instances with "routes". Instances with a disk run a replica of
+// the control log. Calls are forwarded to the leader.
 package control
 
 import (
--- a/plugin/directory/setup.go
+++ b/plugin/directory/setup.go
@@ -41,7 +41,7 @@
 	cachedResponse fetchResponse // the latest response to a fetch, reused for fetchResponseTTL
 	notifiedAt     time.Duration // time of the last update sent to all peers
 	listeners      []func()
-	becameLeader   chan struct{} // signalled on each status change while this instance is the leader
+	readDue        chan struct{} // triggers a read of the platform's list at once
 	lastCallAt     time.Duration // time of the last call to the platform; used by the reading duty only
 
 	fetching atomic.Bool // set while a fetch runs; at most one runs at a time
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	d.kernel, d.log, d.becameLeader = c, c.Log.With("plugin", "directory"), make(chan struct{}, 1)
+	d.kernel, d.log, d.readDue = c, c.Log.With("plugin", "directory"), make(chan struct{}, 1)
 	d.client = &fasthttp.HostClient{
 		Addr: c.Settings.Routes.Directory.Address, MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }, NoDefaultUserAgentHeader: true,
@@ -103,12 +103,12 @@
 	d.control = control
 	control.OnStatus(func(s api.ControlStatus) {
 		if s.Role == "leader" {
-			kernel.Signal(d.becameLeader)
+			kernel.Signal(d.readDue)
 		}
 	})
 	// A new leader reads at once: after a power failure of the whole fleet no instance
 	// has a list until then.
-	duties.EveryOrOnSignal("directory read", readInterval, d.becameLeader, d.readPlatformList)
+	duties.EveryOrOnSignal("directory read", readInterval, d.readDue, d.readPlatformList)
 	return nil
 }
 
--- a/plugin/forward/call.go
+++ b/plugin/forward/call.go
@@ -239,7 +239,7 @@
 
 // connectAndSend sends the request over a pooled or new connection. If the target closed
 // a pooled connection without sending a byte, a request that may be retried is sent again
-// over a new one.
+// over a new one, if the retry budget allows it.
 func (a *attempt) connectAndSend() (*exchange.Exchange, *attemptFailure) {
 	conn, failure := a.connect(false)
 	if failure != nil {
--- a/plugin/gateway/stray_responses_test.go
+++ b/plugin/gateway/stray_responses_test.go
@@ -15,12 +15,12 @@
 	"nutmegrouter/platform/standin"
 )
 
-// responseWithoutID returns a stamped response without the id of its request.
+// responseWithoutID returns a signed response without the id of its request.
 func responseWithoutID(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 X\r\n"+standin.HeaderStamp+": stamp\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// streamWithoutID returns a stamped event stream without the id of its request.
+// streamWithoutID returns a signed event stream without the id of its request.
 func streamWithoutID(body string) string {
 	return "HTTP/1.1 200 X\r\n" + standin.HeaderStamp + ": stamp\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(body) + endChunk
 }
--- a/plugin/operators/setup.go
+++ b/plugin/operators/setup.go
@@ -1,6 +1,6 @@
 // Package operators serves the operators' HTTP interface on the control instances of a
-// fleet with the profile "routes": replacing and reading the configuration, and taking
-// data centres out of service and back. Any control instance accepts a call and forwards
+// fleet with the profile "routes": replacing and reading the configuration, taking data
+// centres out of service and bringing them back. Any control instance accepts a call and forwards
 // it to the leader through api.Control.
 package operators
 
@@ -111,7 +111,7 @@
 	s.submit(ctx, changeTimeout, api.Submission{Version: table.Version, Document: api.PackDocument(body)})
 }
 
-// setDataCentreOut takes a data centre out of service or puts it back.
+// setDataCentreOut takes a data centre out of service or brings it back.
 func (s *Server) setDataCentreOut(ctx *fasthttp.RequestCtx, order api.Order) {
 	if !slices.Contains(s.kernel.Settings.Routes.DataCentres, order.DataCentre) {
 		s.refuse(ctx, fasthttp.StatusNotFound, "no such data centre")
--- a/plugin/owner/setup.go
+++ b/plugin/owner/setup.go
@@ -38,8 +38,8 @@
 	// heartbeatInterval is the interval of heartbeats to entry instances with queued
 	// requests.
 	heartbeatInterval = 100 * time.Millisecond
-	// disconnectTimeout is how long an entry instance without a link keeps the load of its
-	// requests on the targets.
+	// disconnectTimeout is how long the requests of an entry instance without a link still
+	// count as running on their targets.
 	disconnectTimeout = 1500 * time.Millisecond
 	// clockCheckInterval is how often the owner checks the clock while no message arrives.
 	clockCheckInterval = 100 * time.Millisecond
@@ -377,7 +377,8 @@
 }
 
 func (o *Owner) send(to string, d placewire.OwnerMessage) {
+	// If the message is lost, the entry instance places the request locally after a timeout.
 	if err := o.mesh.Notify(to, placewire.MethodDown, d); err != nil {
-		o.log.Debug("decision not sent", "step", "owner", "peer", to, "error", err) // the entry instance places the request locally after a timeout
+		o.log.Debug("decision not sent", "step", "owner", "peer", to, "error", err)
 	}
 }
