--- a/cmd/nutmegd/main.go
+++ b/cmd/nutmegd/main.go
@@ -3,8 +3,9 @@
 // instances with a disk it replicates the control log.
 //
 // SIGTERM and SIGINT start a planned stop, a second such signal stops without
-// draining further, and SIGHUP reads the settings file again. Exit codes: 0 stopped as planned,
-// 1 failed, 2 wrong usage or invalid settings.
+// draining further, and SIGHUP reads the settings file again.
+//
+// Exit codes: 0 stopped as planned, 1 failed, 2 wrong usage or invalid settings.
 package main
 
 import (
--- a/cmd/nutmegsoak/main.go
+++ b/cmd/nutmegsoak/main.go
@@ -1,4 +1,4 @@
-// Command nutmegsoak is a randomized fault-injection test: it runs a fleet of real
+// Command nutmegsoak is a randomised fault-injection test: it runs a fleet of real
 // processes under load, injects faults that the seed determines, and reports violated
 // guarantees.
 //
@@ -61,7 +61,7 @@
 	return 0
 }
 
-// runSeed runs one seed and reports whether it ended without findings.
+// runSeed runs one seed and reports whether it ended without an error or a violation.
 func runSeed(ctx context.Context, o soak.Options, verbose bool) bool {
 	temporary := o.Dir == ""
 	if temporary {
--- a/fleetconfig/config.go
+++ b/fleetconfig/config.go
@@ -75,7 +75,8 @@
 	DataCentre string `json:"data_centre"`
 	Address    string `json:"address"` // IP:port
 	// WarmCapacity and ColdCapacity are the numbers of concurrent requests that the
-	// target can serve when warm and when cold.
+	// target can serve when warm and when cold. Both are at least 1, and ColdCapacity
+	// is at most WarmCapacity.
 	WarmCapacity int `json:"warm_capacity"`
 	ColdCapacity int `json:"cold_capacity"`
 	// ChecksFence reports that the target refuses orders with an outdated fencing
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -15,9 +15,9 @@
 )
 
 // Client is a client of the HTTP interface for operators. It calls one instance and
-// retries on the next address only after a connection failure or a response with
-// status 503. Changes carry an id, so retrying them is safe. It is not safe for
-// concurrent use.
+// retries on the next address only after a connection failure, a timeout, a malformed
+// response or status 503. Changes carry an id, so retrying them is safe. An error
+// response is returned as a *StatusError. It is not safe for concurrent use.
 type Client struct {
 	// Addresses are the IP:port of the instances, in the order of preference.
 	Addresses []string
@@ -62,13 +62,13 @@
 	return out, c.get(ctx, PathView, nil, &out)
 }
 
-// History returns up to limit of the newest accepted changes, newest first.
+// History returns up to limit (1 to 1000) of the newest accepted changes, newest first.
 func (c *Client) History(ctx context.Context, limit int) ([]api.HistoryEntry, error) {
 	var out []api.HistoryEntry
 	return out, c.get(ctx, PathHistory, url.Values{"limit": {strconv.Itoa(limit)}}, &out)
 }
 
-// InForce reports whether a revision is in force on all instances.
+// InForce reports whether a revision is in force; see type InForce.
 func (c *Client) InForce(ctx context.Context, revision uint64) (InForce, error) {
 	var out InForce
 	return out, c.get(ctx, PathInForce, url.Values{"revision": {strconv.FormatUint(revision, 10)}}, &out)
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -10,9 +10,9 @@
 
 // Paths of the API, with the method, parameters and types of request and response.
 const (
-	PathLive    = "/live"
-	PathReady   = "/ready"
-	PathMetrics = "/metrics"
+	PathLive    = "/live"        // GET, text; 200 while the process runs
+	PathReady   = "/ready"       // GET, text; 200 if callers may be sent to the instance, else 503
+	PathMetrics = "/metrics"     // GET, text in the Prometheus format
 	PathStatus  = "/v1/status"   // GET, Status
 	PathView    = "/v1/view"     // GET, api.View
 	PathHistory = "/v1/history"  // GET ?limit=N, []api.HistoryEntry
@@ -63,16 +63,17 @@
 }
 
 // InForce reports whether a revision is in force on every instance that may
-// dispatch work.
+// dispatch work. With the profile "routes" it covers only the responding instance.
 type InForce struct {
 	Revision uint64 `json:"revision"`
 	InForce  bool   `json:"in_force"`
-	// WaitingInstances names the instances that may have a valid lease but have not
-	// reported the revision.
+	// WaitingInstances names the responding instance if it has an older view, and the
+	// peers that may have a valid lease but have not reported the revision.
 	WaitingInstances []string `json:"waiting,omitempty"`
 }
 
-// Filter selects events that match all non-empty fields.
+// Filter selects events that match all non-empty fields. SinceMs and UntilMs are
+// inclusive; 0 means no bound.
 type Filter struct {
 	SinceMs   int64  `json:"since_ms,omitempty"`
 	UntilMs   int64  `json:"until_ms,omitempty"`
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -25,9 +25,9 @@
 const (
 	// Whole means that every byte of the caller's own response arrived.
 	Whole Verdict = iota
-	// Refused means a rejection that states that the request did not run.
+	// Refused means a refusal that states that the request did not run.
 	Refused
-	// Unknown means a rejection that states that the outcome is unknown.
+	// Unknown means a refusal that states that the outcome is unknown.
 	Unknown
 	// Broken means a response stream that ended with an explicit error event.
 	Broken
@@ -41,7 +41,7 @@
 // attempt is the outcome of one send to an entry instance or target.
 type attempt struct {
 	verdict    Verdict
-	code       string        // HTTP status and error of a rejection, or error text
+	code       string        // HTTP status and error of a refusal, or error text
 	notSent    bool          // the request never left the client
 	retryAfter time.Duration // from the response header; 0 = none
 	firstByte  time.Time
@@ -169,7 +169,7 @@
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return readRejection(resp)
+		return readRefusal(resp)
 	}
 	return checkBody(ctx, resp, expectedBody(j, body))
 }
@@ -200,8 +200,8 @@
 	return standin.ServiceBody(body, 256)
 }
 
-// readRejection classifies a response whose status is not 200 by its X-Run header.
-func readRejection(resp *fasthttp.Response) attempt {
+// readRefusal classifies a response whose status is not 200 by its X-Run header.
+func readRefusal(resp *fasthttp.Response) attempt {
 	text, _ := io.ReadAll(io.LimitReader(resp.BodyStream(), maxErrorBodyBytes))
 	a := attempt{verdict: Lost, code: strconv.Itoa(resp.StatusCode()) + " " + errorText(text)}
 	switch string(resp.Header.Peek("X-Run")) {
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -17,8 +17,8 @@
 	Workspace string
 	Sent      int
 	Whole     int
-	// Refused counts requests rejected as "not run". FalselyRefused counts those of
-	// them that a target ran, although each attempt was rejected as "not run" or
+	// Refused counts requests refused as "not run". FalselyRefused counts those of
+	// them that a target ran, although each attempt was refused as "not run" or
 	// never left the client.
 	Refused, FalselyRefused int
 	Unknown                 int
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -36,8 +36,8 @@
 // Run executes a plan and holds its result.
 type Run struct {
 	Plan    *Plan
-	Start   time.Time
-	Records []Record // by planned arrival; complete when Do has returned
+	Start   time.Time // set by Do
+	Records []Record  // by planned arrival; complete when Do has returned
 
 	sent, ended atomic.Int64
 	byVerdict   [Wrong + 1]atomic.Int64
--- a/internal/proc/proc.go
+++ b/internal/proc/proc.go
@@ -25,8 +25,8 @@
 func (p *Process) Done() <-chan struct{} { return p.exited }
 
 // Start starts the program at binPath and appends its output to a log file, whose
-// folder it creates. The kernel kills the program if this process exits first. name
-// identifies the program in errors.
+// folder it creates. The operating system kills the program if this process exits
+// first. name identifies the program in errors.
 func Start(name, binPath, logPath string, args ...string) (*Process, error) {
 	if err := os.MkdirAll(filepath.Dir(logPath), 0o755); err != nil {
 		return nil, errors.Wrap(err, "start "+name)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -21,8 +21,9 @@
 	inject func(ctx context.Context, h *harness, rng *rand.Rand)
 }
 
-// faults returns all faults that a run can inject. The number 9 of all-controls keeps it from
-// running together with another fault that takes down control instances.
+// faults returns all faults that a run can inject. The value 9 for controlsLost of
+// all-controls keeps it from running together with another fault that takes down control
+// instances.
 func faults() []fault {
 	return []fault{
 		{"kill-entry", 0, func(ctx context.Context, h *harness, rng *rand.Rand) {
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -21,16 +21,20 @@
 
 // Options describe the fleet, the load and the faults of a run.
 type Options struct {
-	Seed           uint64        // of the random requests and faults
-	Dir            string        // folder for settings, data and logs
-	Binary         string        // path of nutmegd
-	Controls       int           // number of control instances
-	Entries        int           // number of entry instances
-	Engines, Plain int           // numbers of targets of the model service and of the plain service
-	RequestsPerS   float64       // mean rate of the load over all entry instances
-	TokensPerS     int           // capacity of all engines together in tokens a second; requests of workspaces beyond their share are refused
-	Duration       time.Duration // how long faults are injected; the load starts before and ends after this time
-	Quiet          bool          // inject no faults
+	Seed           uint64  // of the random requests and faults
+	Dir            string  // folder for settings, data and logs
+	Binary         string  // path of nutmegd
+	Controls       int     // number of control instances
+	Entries        int     // number of entry instances
+	Engines, Plain int     // numbers of targets of the model service and of the plain service
+	RequestsPerS   float64 // mean rate of the load over all entry instances
+	// TokensPerS is the capacity of all engines together in tokens a second. Requests of
+	// workspaces beyond their share are refused.
+	TokensPerS int
+	// Duration is how long faults are injected. The load starts before and ends after
+	// this time.
+	Duration time.Duration
+	Quiet    bool // inject no faults
 	// Log receives the progress and the failures of the faults. It must not be nil.
 	Log     func(format string, args ...any)
 	Network int // second byte of the loopback addresses; must differ between runs at the same time
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -29,21 +29,21 @@
 // resumableStreams holds the ids of the streams that an engine can resume: the newest
 // maxStreams of its present boot. A restart clears them.
 type resumableStreams struct {
-	boot   uint64
-	ids    map[string]bool
-	newest []string // oldest first
+	boot  uint64
+	ids   map[string]bool
+	order []string // ids, oldest first
 }
 
 func (r *resumableStreams) add(boot uint64, id string) {
 	if r.boot != boot {
 		*r = resumableStreams{boot: boot, ids: map[string]bool{}}
 	}
-	if len(r.newest) >= maxStreams {
-		delete(r.ids, r.newest[0])
-		r.newest = r.newest[1:]
+	if len(r.order) >= maxStreams {
+		delete(r.ids, r.order[0])
+		r.order = r.order[1:]
 	}
 	r.ids[id] = true
-	r.newest = append(r.newest, id)
+	r.order = append(r.order, id)
 }
 
 func (r *resumableStreams) has(boot uint64, id string) bool { return r.boot == boot && r.ids[id] }
@@ -204,7 +204,7 @@
 	Model        string `json:"model,omitempty"`
 	Version      string `json:"version,omitempty"`
 	Role         string `json:"role,omitempty"`
-	FencingToken uint64 `json:"fence"` // fencing token
+	FencingToken uint64 `json:"fence"`
 }
 
 func (e *engine) serveOrder(ctx *fasthttp.RequestCtx) {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -45,13 +45,14 @@
 	FaultClear FaultName = "clear"
 )
 
-// Fault is the body of POST /fault. Which fields apply depends on the kind.
+// Fault is the body of POST /fault. The kind, in the field Fault, determines which of the
+// other fields apply.
 type Fault struct {
 	Fault   FaultName `json:"fault"`
-	MS      int       `json:"ms,omitempty"`
-	Factor  float64   `json:"factor,omitempty"`
-	After   int       `json:"after,omitempty"`
-	DelayMS int       `json:"delay_ms,omitempty"`
+	MS      int       `json:"ms,omitempty"`       // duration in ms
+	Factor  float64   `json:"factor,omitempty"`   // of FaultSlow; less than 1 means 1
+	After   int       `json:"after,omitempty"`    // events before FaultCrash
+	DelayMS int       `json:"delay_ms,omitempty"` // of FaultReportLag, in ms
 }
 
 const defaultRefuseTime = time.Second
--- a/internal/standin/spec.go
+++ b/internal/standin/spec.go
@@ -14,10 +14,10 @@
 
 // Kinds of stand-ins.
 const (
-	KindEngine   Kind = "engine"
-	KindService  Kind = "service"
-	KindPlatform Kind = "platform"
-	KindWeights  Kind = "weights"
+	KindEngine   Kind = "engine"   // model engine
+	KindService  Kind = "service"  // plain service
+	KindPlatform Kind = "platform" // the platform's instance list
+	KindWeights  Kind = "weights"  // weight store
 )
 
 // Spec configures one stand-in. A zero value selects the default of the field.
--- a/plugin/admin/admin_test.go
+++ b/plugin/admin/admin_test.go
@@ -195,7 +195,7 @@
 	is.Equal(status, 503)
 }
 
-// Guards against a time line out of causal order, or one that doesn't list instances that
+// Guards against a timeline out of causal order, or one that doesn't list instances that
 // did not respond or dropped events.
 func TestTimelineMerge(t *testing.T) {
 	is := is.New(t)
--- a/plugin/admin/setup.go
+++ b/plugin/admin/setup.go
@@ -1,6 +1,6 @@
 // Package admin serves the HTTP admin interface defined by package adminapi: health,
-// metrics, status, configuration changes, and the event time line merged over all
-// instances.
+// metrics, status, configuration changes, and the timeline of events merged over
+// all instances.
 package admin
 
 import (
@@ -32,7 +32,7 @@
 	writeTimeout = 30 * time.Second
 )
 
-// Admin is the plug-in. The zero value is ready for Provision.
+// Admin is the plug-in that serves the admin interface. The zero value is ready for Provision.
 type Admin struct {
 	kernel  *kernel.Context
 	mesh    api.Mesh
--- a/plugin/admin/timeline.go
+++ b/plugin/admin/timeline.go
@@ -22,7 +22,7 @@
 	eventsTimeout = time.Second
 )
 
-// handleEvents returns the matching local events to a peer that merges the time line.
+// handleEvents returns the matching local events to a peer that merges the timeline.
 func (a *Admin) handleEvents(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var f adminapi.Filter
 	if err := json.Unmarshal(params, &f); err != nil {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// serveEvents responds with the time line of all instances, filtered by the query arguments.
+// serveEvents responds with the timeline of all instances, filtered by the query arguments.
 func (a *Admin) serveEvents(r *fasthttp.RequestCtx) {
 	f := adminapi.Filter{
 		Kind:      string(r.QueryArgs().Peek("kind")),
--- a/plugin/dispatch/attempt_test.go
+++ b/plugin/dispatch/attempt_test.go
@@ -195,7 +195,7 @@
 
 var claimKey1 = api.ClaimKey{Workspace: "w1", Pool: "svc", Key: "k1"}
 
-// Guards against a request with an idempotency key that runs twice, a resend that does
+// Guards against a request with an idempotency key that runs twice, a retry that does
 // not receive the stored outcome, and a claim that is kept although nothing ran.
 func TestClaims(t *testing.T) {
 	t.Parallel()
@@ -247,7 +247,7 @@
 				receive(t, env.control.settled)
 			}
 			if c.leftState == api.ClaimDone && c.body != "" && len(c.body) <= maxOutcomeBytes {
-				again := env.wantBody(keyedRequest(), c.body) // a resend by a caller that lost the response
+				again := env.wantBody(keyedRequest(), c.body) // a retry by a caller that lost the response
 				is.Equal(again.Status, head.Status)
 				is.Equal(again.Header["Content-Type"], head.Header["Content-Type"])
 				is.Equal(len(target.workRequests()), c.sends)
--- a/plugin/dispatch/plain.go
+++ b/plugin/dispatch/plain.go
@@ -145,7 +145,7 @@
 }
 
 // settle stores the outcome of a claimed request before the caller receives the end
-// of the response, so that a resend receives it.
+// of the response, so that a retry by the caller receives it.
 func (r *plainResponse) settle() {
 	if !r.call.claimed {
 		return
@@ -196,7 +196,7 @@
 
 // Close implements api.Response. It cancels an incomplete response, except one of a
 // plain service under a claim: that is read to its end in the background, so that a
-// resend receives the stored outcome.
+// retry by the caller receives the stored outcome.
 func (r *plainResponse) Close() error {
 	if r.finalErr != nil {
 		return nil
--- a/plugin/dispatch/resume.go
+++ b/plugin/dispatch/resume.go
@@ -13,8 +13,10 @@
 
 // Limits of resumes and cancels.
 const (
-	maxResumes    = 7                     // in a row without a delivered event; with backoff about 3 s, the time of a takeover
-	resumeBackoff = 50 * time.Millisecond // doubled for each further try
+	// maxResumes bounds the resumes in a row without a delivered event. With backoff they
+	// take about 3 s, the time of a takeover.
+	maxResumes    = 7
+	resumeBackoff = 50 * time.Millisecond // doubled for each further attempt
 	cancelTimeout = 2 * time.Second       // of one cancel request
 )
 
--- a/plugin/dispatch/start.go
+++ b/plugin/dispatch/start.go
@@ -87,7 +87,8 @@
 }
 
 // prepareFailure derives the outcome of an attempt that failed with f. It returns
-// the function that reports the outcome to the scheduler.
+// the function that reports the outcome to the scheduler. A failure of the target
+// also closes the idle connections to it.
 func (c *call) prepareFailure(a *attempt, f *fault) (report func()) {
 	f.target = a.grant.Target
 	a.failureDetail = f.Error()
@@ -126,7 +127,7 @@
 
 // workContext returns the context of the exchange with the target. A plain service
 // cannot be cancelled, so a claimed request to one continues after the caller has
-// disconnected, and a resend receives the stored outcome.
+// disconnected, and a retry by the caller receives the stored outcome.
 func (c *call) workContext() context.Context {
 	if c.claimed && c.pool.Kind != fleetconfig.KindEngine {
 		return context.WithoutCancel(c.ctx)
--- a/plugin/entry/budget.go
+++ b/plugin/entry/budget.go
@@ -15,7 +15,7 @@
 
 // reserveBody reserves the memory of a body of size bytes. It returns a function that
 // releases it, or a refusal if the budget is used up. A body is kept until its response
-// has ended, because a retry or a resumption sends it again.
+// has ended, because a retry or a resume sends it again.
 func (s *Server) reserveBody(size int) (release func(), refusal *api.Refusal) {
 	if !s.bodies.Reserve(size) {
 		r := newRefusal(fasthttp.StatusServiceUnavailable, codeBodiesFull,
--- a/plugin/entry/drain.go
+++ b/plugin/entry/drain.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// recordEvent adds an event to the events that operators can read.
+// recordEvent adds an event of kind "entry" to the timeline.
 func (s *Server) recordEvent(step, detail string) {
 	s.events.Record(kernel.Event{Kind: "entry", Step: step, Detail: detail})
 }
--- a/plugin/mesh/fault_test.go
+++ b/plugin/mesh/fault_test.go
@@ -130,7 +130,7 @@
 			is.NoErr(b.Call(withTimeout(t), "a", "echo", 2, &got))
 			is.Equal(got, "b 2")
 			a.RecordPeersWithoutLink("c", []string{"b"})
-			is.True(!a.Reachable("b")) // c has lost b, too
+			is.True(!a.Reachable("b")) // c has lost its link to b, too
 			w.grid.Link("a", "b").Heal()
 			w.await("direct link", func() bool { return len(a.PeersWithoutLink()) == 0 })
 		})
--- a/plugin/mesh/link.go
+++ b/plugin/mesh/link.go
@@ -19,12 +19,14 @@
 	connectTimeout        = 400 * time.Millisecond  // a host without power never responds to a connect
 	handshakeReplyTimeout = time.Second             // a busy instance responds slowly
 	silenceTimeout        = 1500 * time.Millisecond // without a received byte while a heartbeat is unanswered
-	minHeartbeatWait      = time.Second             // a heartbeat must be unanswered for this long before its link counts as silent
+	minHeartbeatWait      = time.Second             // a link is silent only if a heartbeat is unanswered for this long
 	silenceCheckInterval  = 200 * time.Millisecond  // a silent link is detected within 1.7 s
 	minBackoff            = 50 * time.Millisecond
-	maxBackoff            = time.Second            // short, because a healed partition must reconnect within a lease period
-	backoffGrowth         = 1.5                    // a peer that starts late is reached within a further third of its delay
-	maxCheckGap           = 500 * time.Millisecond // a longer gap between checks means that this process was suspended, not that the link is silent
+	maxBackoff            = time.Second // short, because a healed partition must reconnect within a lease period
+	backoffGrowth         = 1.5         // a peer that starts late is reached within a further third of its delay
+	// maxCheckGap is the longest gap between two silence checks. After a longer one this
+	// process was suspended, so the link does not count as silent.
+	maxCheckGap = 500 * time.Millisecond
 )
 
 // handshakeMethod is the first call on a connection.
--- a/plugin/mesh/relay.go
+++ b/plugin/mesh/relay.go
@@ -32,14 +32,16 @@
 	unreached  []string
 }
 
-// RecordPeersWithoutLink implements api.Links.
+// RecordPeersWithoutLink implements api.Links. It stores the link report of a peer: the
+// instances to which the peer has no direct link. A report is valid for 2 s.
 func (m *Mesh) RecordPeersWithoutLink(peer string, unreached []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reports[peer] = linkReport{m.clock.Now(), slices.Clone(unreached)}
 }
 
-// PeersWithoutLink implements api.Links.
+// PeersWithoutLink implements api.Links. It returns the sorted names of the peers in the
+// settings to which no direct link is open.
 func (m *Mesh) PeersWithoutLink() []string {
 	var out []string
 	for _, p := range m.peers {
--- a/plugin/mesh/roster.go
+++ b/plugin/mesh/roster.go
@@ -41,7 +41,8 @@
 	return h
 }
 
-// SetAddresses implements api.LinkManager.
+// SetAddresses implements api.LinkManager. It opens links to the new mesh addresses and closes
+// the links to addresses that are not listed. It must not be called before Start.
 func (m *Mesh) SetAddresses(addresses []string) {
 	r := m.linkManager
 	r.mu.Lock()
@@ -70,7 +71,8 @@
 	return &dialledLink{l, stop}
 }
 
-// OnLinkChange implements api.LinkManager.
+// OnLinkChange implements api.LinkManager. It registers a function that is called, without a
+// lock held, after a link in either direction has opened or closed.
 func (m *Mesh) OnLinkChange(f func(api.LinkChange)) {
 	m.linkManager.mu.Lock()
 	defer m.linkManager.mu.Unlock()
@@ -93,7 +95,7 @@
 
 // dynamicSession returns an open session with the named instance, or nil. If this
 // instance dials it, only the dialled link is used: silence is detected there,
-// but not on an incoming connection, which may be dead without notice.
+// but not on an incoming connection, which may have failed without notice.
 func (m *Mesh) dynamicSession(name string) *session {
 	if l := m.dialledLinkTo(name); l != nil {
 		return l.openSession()
--- a/plugin/mesh/send.go
+++ b/plugin/mesh/send.go
@@ -123,7 +123,8 @@
 	return json.Unmarshal(raw, result)
 }
 
-// Reachable implements api.Mesh.
+// Reachable implements api.Mesh. It reports whether a direct link to the peer is open or
+// another peer can relay to it. It is true for this instance itself.
 func (m *Mesh) Reachable(peer string) bool {
 	if peer == m.self {
 		return true
--- a/plugin/mesh/session.go
+++ b/plugin/mesh/session.go
@@ -21,8 +21,10 @@
 	incarnation string    // of the peer's process
 	handshake   handshake // of the peer, on a dialled connection
 
-	mu          sync.Mutex
-	callMethods map[jsonrpc2.ID]string // methods of received calls without a reply yet, to count replies by method
+	mu sync.Mutex
+	// callMethods holds the methods of received calls without a reply yet, so that
+	// replies are counted by method.
+	callMethods map[jsonrpc2.ID]string
 }
 
 // newSession starts JSON-RPC on a connection.
--- a/plugin/orders/send.go
+++ b/plugin/orders/send.go
@@ -41,8 +41,8 @@
 	}()
 }
 
-// post sends an order and waits for the response. Status 2xx is Accepted, 409 is TokenOutdated;
-// any other status or error is Failed.
+// post sends an order and waits for the response. Status 2xx is Accepted, 409 is
+// TokenOutdated; any other status or error is Failed.
 func (o *Orders) post(order planner.Order, fence uint64) planner.Outcome {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/plugin/orders/setup.go
+++ b/plugin/orders/setup.go
@@ -35,8 +35,9 @@
 	maxInFlight = 64
 )
 
-// Orders is the plug-in. The zero value is ready for Provision. The duty alone uses pools
-// and inFlight; requests run in goroutines of their own and return an outcome.
+// Orders is the plug-in that plans and sends orders. The zero value is ready for Provision.
+// Only the duty accesses pools and inFlight; requests run in goroutines of their own and
+// return an outcome.
 type Orders struct {
 	kernel  *kernel.Context
 	lease   api.Lease
--- a/plugin/pool/messages.go
+++ b/plugin/pool/messages.go
@@ -11,7 +11,8 @@
 	"nutmegrouter/internal/schedule"
 )
 
-// Grant implements schedule.Client: it passes the valid grants of a message to their tickets.
+// Grant implements schedule.Client: it passes the valid grants of a message from the owner
+// instance from to their tickets.
 func (c *Client) Grant(from string, m *schedule.GrantMsg) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,8 +30,8 @@
 	c.signalFlush()
 }
 
-// receiverOf returns the queues that a message is for: by incarnation, else by pool. It returns
-// nil if the pool is not configured.
+// receiverOf returns the queues that a message is for: by incarnation, else by pool. It
+// returns nil if the pool is not configured.
 func (c *Client) receiverOf(m *schedule.GrantMsg) *schedule.EntryQueues {
 	if e := c.byIncarnation[m.Incarnation]; e != nil {
 		return e
@@ -41,7 +42,8 @@
 	return c.queuesOf(m.Pool)
 }
 
-// Service implements schedule.Client: it stores a copy of the virtual service table.
+// Service implements schedule.Client: it passes a copy of the virtual service table to the
+// queues of its pool.
 func (c *Client) Service(_ string, m *schedule.ServiceTableMsg) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,11 +54,12 @@
 	}
 }
 
-// LeaseValid implements schedule.GrantChecker.
+// LeaseValid implements schedule.GrantChecker. It reports whether the instance lease is valid.
 func (c *Client) LeaseValid() bool { return c.lease.Valid() }
 
-// Address implements schedule.GrantChecker. It reports false for a target that is not in the pool or
-// whose data centre is out of service.
+// Address implements schedule.GrantChecker. It returns the IP:port of a target, and false
+// for a target that is not in the pool or whose data centre is out of service. The caller
+// must hold the lock, as Grant does.
 func (c *Client) Address(pool, target string) (string, bool) {
 	t, ok := c.view.targets[target]
 	return t.address, ok && t.pool == pool && !t.out
@@ -107,7 +110,7 @@
 	return false
 }
 
-// sendRouter sends the message of one pool that is due to the owner of the pool.
+// sendQueues sends the message that is due for one pool to the owner of the pool.
 func (c *Client) sendQueues(pool string, e *schedule.EntryQueues, now time.Duration) {
 	demand, report := e.Flush(now)
 	owner, _ := e.Owner()
@@ -137,8 +140,8 @@
 	}
 }
 
-// deliverLocal passes a copy of a message to the local owner, which reads it later. It reports
-// false if the owner's ring is full.
+// deliverLocal passes a copy of a message to the local owner, which reads it later. It
+// reports false if the owner's ring is full.
 func (c *Client) deliverLocal(demand *schedule.DemandMsg, report *schedule.ReportMsg) bool {
 	if report != nil {
 		m := *report
--- a/plugin/pool/queue.go
+++ b/plugin/pool/queue.go
@@ -18,8 +18,9 @@
 	return &api.Refusal{Code: code, Message: text, Status: status, Run: api.NotRun, RetryAfter: retry, Step: step}
 }
 
-// Enqueue implements api.PoolQueue. The error is an *api.Refusal: the pool is unknown, a
-// queue is full, the instance has no lease or it is stopping.
+// Enqueue implements api.PoolQueue. The error is an *api.Refusal: the pool is unknown, the
+// queue of the workspace or the instance is full, or the instance has no lease or is
+// stopping. A retry (d.Admitted) is refused only for an unknown pool or without a lease.
 func (c *Client) Enqueue(d api.SlotRequest) (api.Ticket, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +91,7 @@
 	return r
 }
 
-// queuesOf returns the queues of a pool and creates it on first use.
+// queuesOf returns the queues of a pool and creates them on first use.
 func (c *Client) queuesOf(pool string) *schedule.EntryQueues {
 	e := c.entryQueues[pool]
 	if e == nil {
@@ -124,14 +125,14 @@
 	}
 }
 
-// tick applies changes of ownership and refuses queued requests that have missed their
-// deadline, that have no valid lease or whose pool was removed.
+// tick applies changes of ownership. It refuses queued requests that have missed their
+// deadline or whose pool was removed, and all of them if the instance has lost its lease.
 func (c *Client) tick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	c.refreshView()
-	c.addRouters()
+	c.createQueues()
 	lost := c.leaseLost(now)
 	for pool, e := range c.entryQueues {
 		c.syncOwner(pool, e)
@@ -149,15 +150,15 @@
 	c.signalFlush()
 }
 
-// addRouters creates the queue of each pool, because a new owner waits for the report of
+// createQueues creates the queues of each pool, because a new owner waits for the report of
 // every instance, also of those that never had a request.
-func (c *Client) addRouters() {
+func (c *Client) createQueues() {
 	for pool := range c.view.pools {
 		c.queuesOf(pool)
 	}
 }
 
-// refuseWaiting refuses all queued requests of a pool.
+// refuseWaiting refuses all queued requests of a pool. reason returns the refusal.
 func (c *Client) refuseWaiting(pool string, e *schedule.EntryQueues, reason func() *api.Refusal, now time.Duration) {
 	for _, req := range e.RefuseAll(now) {
 		c.refuseQueued(pool, req, reason())
--- a/plugin/pool/setup.go
+++ b/plugin/pool/setup.go
@@ -56,7 +56,8 @@
 	metrics           map[string]*poolMetrics
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It provides api.PoolQueue, and fails if the mesh, the
+// lease, the fleet or the local scheduler is missing.
 func (c *Client) Provision(k *kernel.Context) (err error) {
 	if c.mesh, err = kernel.Lookup[api.Mesh](k); err != nil {
 		return err
@@ -84,7 +85,7 @@
 	return kernel.Provide[api.PoolQueue](k, c)
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It starts the duties that send messages and call tick.
 func (c *Client) Start(d *kernel.Duties) error {
 	d.Go("pool messages", c.runSender)
 	d.Go("pool clock", c.runTicker)
--- a/plugin/scheduler/setup.go
+++ b/plugin/scheduler/setup.go
@@ -77,7 +77,8 @@
 	list   *listResult
 }
 
-// Provision implements kernel.Plugin.
+// Provision implements kernel.Plugin. It provides schedule.Local and api.TargetStates, and
+// fails if the mesh, the lease or the fleet is missing.
 func (s *Scheduler) Provision(c *kernel.Context) error {
 	if err := s.lookUpDependencies(c); err != nil {
 		return err
@@ -115,7 +116,8 @@
 	return err
 }
 
-// Start implements kernel.Starter.
+// Start implements kernel.Starter. It starts the worker and the polls of load reports and of
+// the platform's list.
 func (s *Scheduler) Start(d *kernel.Duties) error {
 	d.Go("scheduler", s.runWorker)
 	d.Go("scheduler polls", s.pollLoads)
@@ -125,9 +127,9 @@
 	return nil
 }
 
-// Drain implements kernel.Drainer: it sends the whole virtual service table to all
-// instances, stops granting and resigns ownership. The error is that of the context or of
-// the resignation.
+// Drain implements kernel.Drainer: it sends the last grants and the whole virtual service
+// table to all instances, stops granting and resigns ownership. The error is that of the
+// context or of the resignation.
 func (s *Scheduler) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	select {
@@ -143,15 +145,18 @@
 	return errors.WithMessage(s.lease.Resign(ctx), "resign ownership")
 }
 
-// Attach implements schedule.Local. It must be called before Start.
+// Attach implements schedule.Local. It sets the client of this instance, which receives
+// grants and service tables without the mesh. It must be called before Start.
 func (s *Scheduler) Attach(c schedule.Client) { s.client = c }
 
-// Demand implements schedule.Local. It reports false if the ring is full.
+// Demand implements schedule.Local. It queues a demand message of this instance for the
+// worker, and reports false if the ring is full.
 func (s *Scheduler) Demand(m *schedule.DemandMsg) bool {
 	return s.inbox.Push(input{from: s.mesh.Self(), demand: m})
 }
 
-// Report implements schedule.Local. It reports false if the ring is full.
+// Report implements schedule.Local. It queues a full report of this instance for the worker,
+// and reports false if the ring is full.
 func (s *Scheduler) Report(m *schedule.ReportMsg) bool {
 	return s.inbox.Push(input{from: s.mesh.Self(), report: m})
 }
--- a/plugin/scheduler/states.go
+++ b/plugin/scheduler/states.go
@@ -10,8 +10,9 @@
 	boot   uint64
 }
 
-// States implements api.TargetStates. The states are at most about a second old; the
-// result is empty if this instance does not own the pool. The caller may change the slice.
+// States implements api.TargetStates. It returns the states of the targets of a pool, at
+// most about a second old, or none if this instance does not own the pool. The caller may
+// change the slice.
 func (s *Scheduler) States(pool string) []api.TargetState {
 	published := s.states.Load()
 	if published == nil {
--- a/plugin/scheduler/worker.go
+++ b/plugin/scheduler/worker.go
@@ -176,8 +176,8 @@
 	return instance == s.mesh.Self() || s.lease.MayHoldLease(instance)
 }
 
-// sendService sends the virtual service table of a pool to all instances if it has changed:
-// the accounts in use, or all accounts.
+// sendService sends the virtual service table of a pool to all instances if it has changed.
+// The table has all accounts if all is set, else those in use.
 func (s *Scheduler) sendService(op *ownedPool, all bool) {
 	m := &s.serviceMsg
 	if !op.owner.ServiceTable(m, all) {
@@ -191,8 +191,8 @@
 	s.client.Service(s.mesh.Self(), m)
 }
 
-// handOver sends the whole virtual service table of each owned pool to all instances and
-// ends the ownership. No pool is owned again afterwards.
+// handOver makes the last grants of each owned pool, sends them and the whole virtual service
+// table, and ends the ownership. No pool is owned again afterwards.
 func (s *Scheduler) handOver(now time.Duration) {
 	s.resigning = true
 	for pool, op := range s.owned {
