--- a/cmd/nutmegbench/demo.go
+++ b/cmd/nutmegbench/demo.go
@@ -78,7 +78,8 @@
 }
 
 // newPlan returns a plan with the standard mix of requests. rate is in requests per
-// second. A few workspaces and entry instances receive most of the requests.
+// second. A few workspaces send most of the requests, and a few entry instances receive
+// most of them.
 func newPlan(f *fleetrun.Fleet, seed uint64, rate float64, length time.Duration) *loadgen.Plan {
 	p := &loadgen.Plan{Seed: seed, Rate: rate, Duration: length,
 		Kinds: loadgen.StandardKinds(fleetrun.EnginePool, fleetrun.Model, fleetrun.ServicePool)}
