--- a/fleetconfig/text.go
+++ b/fleetconfig/text.go
@@ -11,8 +11,8 @@
 )
 
 // Canonical returns the document as indented JSON with its lists sorted by name.
-// Documents that differ only in the order of their lists, in comments or in
-// formatting have the same canonical form.
+// Documents that differ only in the order of these lists, in comments or in
+// formatting have the same canonical form. The order of a workspace's key hashes is kept.
 func Canonical(cfg *Config) ([]byte, error) {
 	c := *cfg
 	c.DataCentres = sortedByName(c.DataCentres, func(d DataCentre) string { return d.Name })
@@ -34,7 +34,8 @@
 }
 
 // Parse decodes a document from JSON with comments and validates it. Unknown fields
-// are errors. If the document is invalid the error is of type Problems.
+// are errors. If the document can be decoded but is invalid, the error is of type
+// Problems.
 func Parse(raw []byte) (*Config, error) {
 	std, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
